--- a/crates/emberpin-idempotency/src/table.rs
+++ b/crates/emberpin-idempotency/src/table.rs
@@ -1,180 +1,192 @@
-//! The table of keys: who is first, who waits, who is told what came of it, and what gives way when it is full.
+//! The table of keys of one limiter. It decides which request of a key is the first and is forwarded, which requests
+//! wait for it, which reply each of them gets, and what is evicted when the table is full.
 //!
-//! An entry whose request has run, or may have, is never forgotten before its retention time is over: forgetting it
-//! could sign twice. What gives way is the *answer* kept with it: a repeat is then told that the work is done
-//! and that its answer is not kept any more. When no entry can be made, new work is refused with the time at
-//! which the oldest entry goes.
+//! An entry whose request has run, or may have run, is never removed before its retention period is over: without the
+//! entry, a repeat would be signed a second time. Only the *answer* kept with an entry is evicted early; a repeat is
+//! then told that the work is done and that its answer is not kept any more. When there is no capacity for another
+//! entry, new work is rejected with the time until the oldest entry expires.
+//!
+//! After a start without the records of the previous incarnation, no request is forwarded during a *quiet* period, as
+//! it may have run before the start.
 
 use crate::fingerprint::Fingerprint;
 use crate::key::Key;
-use crate::record::{Customer, Known, Millis, Record};
+use crate::record::{Customer, KeyStatus, Millis, Record};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// One request as the host names it; never used again.
+/// Identifies one request to the host and the table. Never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// What is kept of an answer has a size.
-pub trait Weight {
-    /// Bytes that it holds.
-    fn weight(&self) -> usize;
+/// The size of an answer, for the limit of kept bytes.
+pub trait SizeInBytes {
+    /// The size in bytes.
+    fn size_bytes(&self) -> usize;
 }
 
-/// The bounds. A customer's are its share of the table's, so that no one firm can push out the others' keys.
+/// The limits of a table. A customer may use at most its share of the table's limits, so that no customer can evict the
+/// keys of others.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Entries in all.
+    /// Maximum number of entries, over all customers.
     pub entries: usize,
-    /// Bytes of kept answers in all.
+    /// Maximum size of the kept answers in bytes, over all customers.
     pub answer_bytes: usize,
-    /// Requests that wait for the first of their key.
+    /// Maximum number of requests that wait for the first request of one key.
     pub waiters_per_key: usize,
-    /// Requests of one customer that wait.
+    /// Maximum number of waiting requests of one customer.
     pub waiters_per_customer: usize,
-    /// The part of entries and of bytes that one customer may hold, above 0 and at most 1.
+    /// The share of `entries` and of `answer_bytes` that one customer may use, above 0 and at most 1. It is rounded
+    /// down, with a minimum of one entry.
     pub customer_share: f64,
-    /// How long an outcome is kept.
+    /// How long an entry is kept after its outcome, in milliseconds.
     pub retention: Millis,
-    /// Nothing is let on so soon after the start, as what the life before let on is forgotten.
+    /// For this long after the start, in milliseconds, no request is forwarded, as the table does not know what the
+    /// previous incarnation forwarded.
     pub quiet: Millis,
-    /// A repeat waits for the first; else it is told that the first is in flight.
+    /// Whether a repeat waits for the first request. Otherwise it is told at once that the first one is in flight.
     pub wait: bool,
-    /// Records are written to a log, and a first request goes on only once its record counts there.
+    /// Whether records are written to a log. If so, a first request is forwarded only once its record is durable.
     pub recorded: bool,
 }
 
-/// What happened.
+/// An input of [`Table::handle`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<A> {
-    /// A keyed request came.
+    /// A request with a key arrived.
     Arrived {
-        /// Its name from now on.
+        /// Identifies the request from now on.
         ticket: Ticket,
-        /// Whose it is.
+        /// The customer that sent the request.
         customer: Customer,
-        /// Its key.
+        /// The key of the request.
         key: Key,
-        /// What it looks like.
+        /// The fingerprint of the request.
         fingerprint: Fingerprint,
     },
     /// A first request was served.
     Served {
-        /// Which.
+        /// The ticket of the request.
         ticket: Ticket,
-        /// With what.
+        /// The answer to the request.
         answer: A,
     },
-    /// A first request was refused, and is known not to have run.
-    Refused {
-        /// Which.
+    /// A first request was rejected, and is known not to have run.
+    Rejected {
+        /// The ticket of the request.
         ticket: Ticket,
-        /// With what.
+        /// The answer to the request.
         answer: A,
     },
     /// A first request failed, and may have run.
     Failed {
-        /// Which.
+        /// The ticket of the request.
         ticket: Ticket,
-        /// With what.
+        /// The answer to the request.
         answer: A,
     },
-    /// A request's client left, or its patience is over: it is owed nothing more. A first request goes on.
-    Left {
-        /// Which.
+    /// The client of a request disconnected or timed out: it gets no reply any more. A first request continues, a
+    /// waiting one is dropped.
+    ClientLeft {
+        /// The ticket of the request.
         ticket: Ticket,
     },
-    /// A first request was given up before anything of it was sent; the next that waits stands in its place.
+    /// A first request was abandoned before anything of it was sent. The next waiting request takes its place. If the
+    /// ticket is that of a waiting request, it is removed.
     Released {
-        /// Which.
+        /// The ticket of the request.
         ticket: Ticket,
     },
-    /// What came of a first request will never be heard: it may have run.
+    /// The outcome of a first request will never be known: it may have run. If the ticket is that of a waiting request,
+    /// it is removed.
     Lost {
-        /// Which.
+        /// The ticket of the request.
         ticket: Ticket,
     },
-    /// A key's request was served, whoever let it on.
+    /// The request of a key was served, no matter which limiter forwarded it.
     Learned {
-        /// Whose it is.
+        /// The customer that sent the request.
         customer: Customer,
-        /// Its key.
+        /// The key of the request.
         key: Key,
-        /// What it looks like.
+        /// The fingerprint of the request.
         fingerprint: Fingerprint,
-        /// With what.
+        /// The answer to the request.
         answer: A,
     },
-    /// The record of a first request counts.
+    /// The record of a first request is durable.
     Written {
-        /// Which.
+        /// The ticket of the request.
         ticket: Ticket,
     },
     /// The record of a first request could not be written.
     Unwritten {
-        /// Which.
+        /// The ticket of the request.
         ticket: Ticket,
     },
-    /// Time has passed.
+    /// Time has passed: expired entries are removed.
     Tick,
 }
 
-/// What the host is to do.
+/// An output of [`Table::handle`], to be carried out by the host in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action<A> {
-    /// This is the first of its key: let it on, and say what came of it.
-    Pass(Ticket),
-    /// Keep it until it is told something, or leaves.
+    /// Forward this request, the first of its key, and report its outcome.
+    Forward(Ticket),
+    /// Hold this request until a later action forwards, answers or drops it.
     Hold(Ticket),
-    /// Nobody wants this request any more, and nothing of it was sent: forget it.
+    /// Discard this request: no client waits for it any more, and nothing of it was sent.
     Drop(Ticket),
-    /// Append this to the log. With a ticket, say whether it counts.
+    /// Append this record to the log. If there is a ticket, report with it whether the record became durable
+    /// ([`Event::Written`] or [`Event::Unwritten`]).
     Record(Record<A>, Option<Ticket>),
-    /// Its one answer.
-    Tell(Ticket, Telling<A>),
+    /// Send the one reply that this request gets.
+    Reply(Ticket, TableReply<A>),
 }
 
-/// What a request is told.
+/// The reply to a request. The numbers are the HTTP statuses that the host answers with.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Telling<A> {
-    /// To the first: its own outcome.
+pub enum TableReply<A> {
+    /// For the first request: its own outcome.
     Own(A),
-    /// To a repeat: the outcome of the first, as it was.
+    /// For a repeat: the outcome of the first request, unchanged.
     Replay(A),
-    /// The key stands for another request: 422.
+    /// The key was used for a request with another fingerprint: 422.
     Mismatch,
-    /// The first is in flight: 409. Also when as many wait as may.
+    /// The first request is in flight: 409. Also sent when the maximum number of requests waits already.
     InFlight,
-    /// The first failed and may have run; it is never sent again under this key: 409.
+    /// The first request failed and may have run. No request is sent again under this key: 409.
     Unknown,
-    /// The first was served, and its answer is not kept any more: 409.
+    /// The first request was served, and its answer is not kept any more: 409.
     NotKept,
-    /// There is no place for another key: come back after this time.
+    /// There is no capacity for another key. The client may retry after `retry_after`.
     Full {
-        /// Until the entry that is in the way goes.
+        /// Milliseconds until the blocking entry expires.
         retry_after: Millis,
     },
-    /// Too soon after a start to know whether it ran before; it is never sent under this key: 409.
+    /// The request arrived in the quiet period after a start, so it is unknown whether it ran before. It is never sent
+    /// under this key: 409.
     Quiet,
-    /// The log cannot be written, so nothing was sent: come back later.
+    /// The log could not be written, so nothing was sent. The client may retry later.
     NotWritten,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EntryId(u64);
 
-/// What is known of a key.
+/// The state of an entry.
 #[derive(Clone)]
 enum State<A> {
-    /// The first is out, and these wait for it; it is told its outcome unless it has left. It is not out yet while
-    /// its record is being written.
+    /// The first request is in flight, or waits for its record to become durable (`record_pending`). `first` is `None`
+    /// once its client has disconnected: its outcome is then sent to `waiters` only.
     InFlight {
         first: Option<Ticket>,
         waiters: Vec<Ticket>,
-        writing: bool,
+        record_pending: bool,
     },
-    /// Served; the answer unless it gave way.
+    /// The request was served. The answer is `None` if it was not kept or was evicted.
     Served { answer: Option<A> },
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
@@ -184,80 +196,81 @@
     key: Key,
     fingerprint: Fingerprint,
     state: State<A>,
-    /// When it is forgotten, once it has an outcome.
+    /// When the entry is removed. Meaningful only once there is an outcome.
     expires: Millis,
 }
 
-/// What one customer holds.
+/// The part of the table that one customer uses.
 #[derive(Clone, Default)]
-struct Holding {
+struct CustomerUsage {
     entries: usize,
     bytes: usize,
     waiters: usize,
-    /// Its entries with an outcome, the oldest first.
-    done: VecDeque<EntryId>,
-    /// Those of them whose answer is kept.
+    /// The customer's entries with an outcome, the oldest first.
+    concluded: VecDeque<EntryId>,
+    /// The entries of `concluded` whose answer is kept, the oldest first.
     answers: VecDeque<EntryId>,
 }
 
-/// How far a sweep over all entries has come.
+/// The position of a sweep over all entries, from which [`Table::sweep`] continues. The default is the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sweep(u64);
+pub struct SweepCursor(u64);
 
-/// The table.
+/// The key table of one limiter. A state machine: see [`Table::handle`].
 #[derive(Clone)]
 pub struct Table<A> {
     limits: Limits,
-    /// The latest time seen: a clock that steps back stands still here.
+    /// The latest time passed in. An earlier time than this is ignored.
     now: Millis,
-    /// The quiet time after the start ends then.
-    opens: Millis,
-    /// Later for these customers, each of whom holds its whole share.
-    extended: BTreeMap<Customer, Millis>,
-    next: u64,
+    /// The end of the quiet period after the start.
+    quiet_until: Millis,
+    /// Later ends of the quiet period for customers whose share of entries was full during it.
+    extended_quiet: BTreeMap<Customer, Millis>,
+    next_id: u64,
     bytes: usize,
     entries: BTreeMap<EntryId, Entry<A>>,
     by_key: BTreeMap<(Customer, Key), EntryId>,
-    /// First requests that are out, and requests that wait.
+    /// The entries of first requests in flight and of waiting requests.
     tickets: BTreeMap<Ticket, EntryId>,
-    customers: BTreeMap<Customer, Holding>,
-    /// Entries with an outcome, the oldest first: all are kept for the same time.
-    done: VecDeque<EntryId>,
-    /// Customers by the bytes that they hold.
+    customers: BTreeMap<Customer, CustomerUsage>,
+    /// Entries with an outcome, the oldest first. All are kept for the same time, so they expire in this order.
+    concluded: VecDeque<EntryId>,
+    /// Customers by the size of their kept answers.
     by_bytes: BTreeSet<(usize, Customer)>,
 }
 
-impl<A: Clone + Weight> Table<A> {
-    /// An empty table of a process that starts now.
+impl<A: Clone + SizeInBytes> Table<A> {
+    /// Creates an empty table for a process that starts at `now`.
     pub fn new(limits: Limits, now: Millis) -> Table<A> {
-        let opens = now + limits.quiet;
+        let quiet_until = now + limits.quiet;
         Table {
             limits,
             now,
-            opens,
-            extended: BTreeMap::new(),
-            next: 0,
+            quiet_until,
+            extended_quiet: BTreeMap::new(),
+            next_id: 0,
             bytes: 0,
             entries: BTreeMap::new(),
             by_key: BTreeMap::new(),
             tickets: BTreeMap::new(),
             customers: BTreeMap::new(),
-            done: VecDeque::new(),
+            concluded: VecDeque::new(),
             by_bytes: BTreeSet::new(),
         }
     }
 
-    /// Entries that there are.
+    /// The number of entries.
     pub fn entries(&self) -> usize {
         self.entries.len()
     }
 
-    /// Bytes of answers that are kept.
+    /// The size of the kept answers, in bytes.
     pub fn answer_bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Takes an event, and appends what is to be done about it.
+    /// Handles an event, and appends the actions that follow from it. A `now` before an earlier one counts as the
+    /// earlier one.
     pub fn handle(&mut self, now: Millis, event: Event<A>, actions: &mut Vec<Action<A>>) {
         self.now = self.now.max(now);
         self.expire();
@@ -268,35 +281,35 @@
                 key,
                 fingerprint,
             } => {
-                let action = self.arrive(ticket, customer, key, fingerprint);
-                if let (Action::Hold(_), Some(record)) = (&action, self.claim(ticket)) {
+                let action = self.on_arrival(ticket, customer, key, fingerprint);
+                if let (Action::Hold(_), Some(record)) = (&action, self.claim_record(ticket)) {
                     actions.push(Action::Record(record, Some(ticket)));
                 }
                 actions.push(action);
             }
-            Event::Released { ticket } => self.release(ticket, actions),
-            Event::Lost { ticket } => self.lose(ticket, actions),
+            Event::Released { ticket } => self.on_released(ticket, actions),
+            Event::Lost { ticket } => self.mark_unknown(ticket, actions),
             Event::Learned {
                 customer,
                 key,
                 fingerprint,
                 answer,
             } => {
-                self.learn(customer, key, fingerprint, answer, actions);
+                self.on_served_elsewhere(customer, key, fingerprint, answer, actions);
             }
-            Event::Written { ticket } => self.written(ticket, actions),
-            Event::Unwritten { ticket } => self.unwritten(ticket, actions),
+            Event::Written { ticket } => self.on_written(ticket, actions),
+            Event::Unwritten { ticket } => self.on_write_failed(ticket, actions),
             Event::Served { ticket, answer } => {
                 self.conclude(ticket, answer, Outcome::Served, actions);
             }
-            Event::Refused { ticket, answer } => {
-                self.conclude(ticket, answer, Outcome::Refused, actions);
+            Event::Rejected { ticket, answer } => {
+                self.conclude(ticket, answer, Outcome::Rejected, actions);
             }
             Event::Failed { ticket, answer } => {
                 self.conclude(ticket, answer, Outcome::Failed, actions);
             }
-            Event::Left { ticket } => {
-                if self.leave(ticket) {
+            Event::ClientLeft { ticket } => {
+                if self.remove_waiter(ticket) {
                     actions.push(Action::Drop(ticket));
                 }
             }
@@ -304,126 +317,135 @@
         }
     }
 
-    fn arrive(
+    fn on_arrival(
         &mut self,
         ticket: Ticket,
         customer: Customer,
         key: Key,
         fingerprint: Fingerprint,
     ) -> Action<A> {
-        let known = self.by_key.get(&(customer, key.clone())).copied();
-        let Some((id, entry)) = known.and_then(|id| Some((id, self.entries.get_mut(&id)?))) else {
-            return self.begin(ticket, customer, key, fingerprint);
+        let known_id = self.by_key.get(&(customer, key.clone())).copied();
+        let Some((id, entry)) = known_id.and_then(|id| Some((id, self.entries.get_mut(&id)?)))
+        else {
+            return self.handle_unknown_key(ticket, customer, key, fingerprint);
         };
         if entry.fingerprint != fingerprint {
-            return Action::Tell(ticket, Telling::Mismatch);
+            return Action::Reply(ticket, TableReply::Mismatch);
         }
-        let holding = self.customers.entry(customer).or_default();
+        let usage = self.customers.entry(customer).or_default();
         match &mut entry.state {
             State::Served {
                 answer: Some(answer),
-            } => Action::Tell(ticket, Telling::Replay(answer.clone())),
-            State::Served { answer: None } => Action::Tell(ticket, Telling::NotKept),
-            State::Unknown => Action::Tell(ticket, Telling::Unknown),
+            } => Action::Reply(ticket, TableReply::Replay(answer.clone())),
+            State::Served { answer: None } => Action::Reply(ticket, TableReply::NotKept),
+            State::Unknown => Action::Reply(ticket, TableReply::Unknown),
             State::InFlight { waiters, .. } => {
-                let room = waiters.len() < self.limits.waiters_per_key
-                    && holding.waiters < self.limits.waiters_per_customer;
-                if !self.limits.wait || !room {
-                    return Action::Tell(ticket, Telling::InFlight);
+                let has_capacity = waiters.len() < self.limits.waiters_per_key
+                    && usage.waiters < self.limits.waiters_per_customer;
+                if !self.limits.wait || !has_capacity {
+                    return Action::Reply(ticket, TableReply::InFlight);
                 }
                 waiters.push(ticket);
-                holding.waiters += 1;
+                usage.waiters += 1;
                 self.tickets.insert(ticket, id);
                 Action::Hold(ticket)
             }
         }
     }
 
-    /// A key that is not known: the first of it, if there is a place.
-    fn begin(
+    /// Handles the first request of an unknown key, if there is capacity for another entry.
+    fn handle_unknown_key(
         &mut self,
         ticket: Ticket,
         customer: Customer,
         key: Key,
         fingerprint: Fingerprint,
     ) -> Action<A> {
-        let own = self.customers.get(&customer);
+        let own_usage = self.customers.get(&customer);
         let full = self.entries.len() >= self.limits.entries;
-        let own_full = own.is_some_and(|own| own.entries >= self.share(self.limits.entries));
-        let opens = self
-            .extended
+        let own_full =
+            own_usage.is_some_and(|own_usage| own_usage.entries >= self.share(self.limits.entries));
+        let quiet_until = self
+            .extended_quiet
             .get(&customer)
-            .map_or(self.opens, |opens| opens.max(self.opens));
-        if self.now < opens {
+            .map_or(self.quiet_until, |quiet_until| {
+                quiet_until.max(self.quiet_until)
+            });
+        if self.now < quiet_until {
             let later = self.now + self.limits.retention;
-            // What is seen now may have run before the start. Told to come back, it would be taken for new work then:
-            // so it is kept as what may have run. Where no place is left for that, the quiet lasts on, for whom
-            // there is none.
+            // The request may have run before the start. If its client were asked to retry, the retry would count as
+            // new work after the quiet period. So the key is recorded as one that may have run. Where there is no
+            // capacity for that, the quiet period is extended: for all customers if the table is full, or for this
+            // customer if its share is.
             if full {
-                self.opens = later;
+                self.quiet_until = later;
             } else if own_full {
-                self.extended.insert(customer, later);
+                self.extended_quiet.insert(customer, later);
             } else {
                 let id = self.insert(customer, key, fingerprint, State::Unknown, later);
-                self.done.push_back(id);
+                self.concluded.push_back(id);
                 self.customers
                     .entry(customer)
                     .or_default()
-                    .done
+                    .concluded
                     .push_back(id);
             }
-            return Action::Tell(ticket, Telling::Quiet);
+            return Action::Reply(ticket, TableReply::Quiet);
         }
         if full || own_full {
-            // Of both that are in the way the later to go counts. While all are in flight, one of them goes, at
-            // the soonest, a whole retention from now.
-            let goes = |done: Option<&VecDeque<EntryId>>| {
-                let oldest = done
-                    .and_then(|done| done.front())
+            // If both limits are reached, the one that is freed later counts. If all entries are in flight, the
+            // earliest that one can expire is a whole retention period from now.
+            let earliest_expiry = |concluded: Option<&VecDeque<EntryId>>| {
+                let oldest = concluded
+                    .and_then(|concluded| concluded.front())
                     .and_then(|id| self.entries.get(id));
                 oldest.map_or(self.limits.retention, |entry| entry.expires - self.now)
             };
-            let table = if full { goes(Some(&self.done)) } else { 0.0 };
-            let share = if own_full {
-                goes(own.map(|own| &own.done))
+            let table_wait = if full {
+                earliest_expiry(Some(&self.concluded))
             } else {
                 0.0
             };
-            return Action::Tell(
+            let share_wait = if own_full {
+                earliest_expiry(own_usage.map(|own_usage| &own_usage.concluded))
+            } else {
+                0.0
+            };
+            return Action::Reply(
                 ticket,
-                Telling::Full {
-                    retry_after: table.max(share),
+                TableReply::Full {
+                    retry_after: table_wait.max(share_wait),
                 },
             );
         }
-        let writing = self.limits.recorded;
+        let record_pending = self.limits.recorded;
         let state = State::InFlight {
             first: Some(ticket),
             waiters: Vec::new(),
-            writing,
+            record_pending,
         };
         let id = self.insert(customer, key, fingerprint, state, f64::INFINITY);
         self.tickets.insert(ticket, id);
-        match writing {
+        match record_pending {
             true => Action::Hold(ticket),
-            false => Action::Pass(ticket),
+            false => Action::Forward(ticket),
         }
     }
 
-    /// The record that a first request waits for; none for one that waits for something else.
-    fn claim(&self, ticket: Ticket) -> Option<Record<A>> {
+    /// The record that a first request waits for. `None` for a request that waits for another one.
+    fn claim_record(&self, ticket: Ticket) -> Option<Record<A>> {
         let entry = self.entries.get(self.tickets.get(&ticket)?)?;
         match &entry.state {
             State::InFlight {
                 first,
-                writing: true,
+                record_pending: true,
                 ..
-            } if *first == Some(ticket) => Some(self.record(entry, Known::Claimed)),
+            } if *first == Some(ticket) => Some(self.record(entry, KeyStatus::Claimed)),
             _ => None,
         }
     }
 
-    fn record(&self, entry: &Entry<A>, known: Known<A>) -> Record<A> {
+    fn record(&self, entry: &Entry<A>, status: KeyStatus<A>) -> Record<A> {
         let Entry {
             customer,
             key,
@@ -435,11 +457,11 @@
             key: key.clone(),
             fingerprint: *fingerprint,
             at: self.now,
-            known,
+            status,
         }
     }
 
-    fn written(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
+    fn on_written(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
         let Some(id) = self.tickets.get(&ticket).copied() else {
             return;
         };
@@ -449,29 +471,29 @@
         let State::InFlight {
             first,
             waiters,
-            writing,
+            record_pending,
         } = &mut entry.state
         else {
             return;
         };
-        if !std::mem::take(writing) {
+        if !std::mem::take(record_pending) {
             return;
         }
         if first.is_some() || !waiters.is_empty() {
-            actions.push(Action::Pass(ticket));
+            actions.push(Action::Forward(ticket));
             return;
         }
-        // Whoever wanted it left before anything was sent: the key is as if it had never come.
+        // All clients disconnected before anything was sent, so the key is free again.
         self.tickets.remove(&ticket);
         if let Some(entry) = self.entries.get(&id) {
-            actions.push(Action::Record(self.record(entry, Known::Gone), None));
+            actions.push(Action::Record(self.record(entry, KeyStatus::Removed), None));
         }
         actions.push(Action::Drop(ticket));
-        self.forget(id);
+        self.remove_entry(id);
     }
 
-    /// The request that holds a key that has no outcome yet.
-    pub fn first(&self, customer: Customer, key: &Key) -> Option<Ticket> {
+    /// The first request of a key that has no outcome yet. `None` if its client has disconnected.
+    pub fn first_in_flight(&self, customer: Customer, key: &Key) -> Option<Ticket> {
         match &self
             .entries
             .get(self.by_key.get(&(customer, key.clone()))?)?
@@ -482,7 +504,7 @@
         }
     }
 
-    fn release(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
+    fn on_released(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
         let Some(id) = self.tickets.get(&ticket).copied() else {
             return;
         };
@@ -492,42 +514,42 @@
         let State::InFlight {
             first,
             waiters,
-            writing,
+            record_pending,
         } = &mut entry.state
         else {
             return;
         };
         if *first != Some(ticket) {
-            self.leave(ticket);
+            self.remove_waiter(ticket);
             return;
         }
         self.tickets.remove(&ticket);
         if waiters.is_empty() {
             if self.limits.recorded {
                 if let Some(entry) = self.entries.get(&id) {
-                    actions.push(Action::Record(self.record(entry, Known::Gone), None));
+                    actions.push(Action::Record(self.record(entry, KeyStatus::Removed), None));
                 }
             }
-            return self.forget(id);
+            return self.remove_entry(id);
         }
         let next = waiters.remove(0);
         *first = Some(next);
-        let writing = *writing;
-        if let Some(holding) = self.customers.get_mut(&entry.customer) {
-            holding.waiters -= 1;
+        let record_pending = *record_pending;
+        if let Some(usage) = self.customers.get_mut(&entry.customer) {
+            usage.waiters -= 1;
         }
         match self.entries.get(&id) {
-            Some(entry) if writing => {
+            Some(entry) if record_pending => {
                 actions.push(Action::Record(
-                    self.record(entry, Known::Claimed),
+                    self.record(entry, KeyStatus::Claimed),
                     Some(next),
                 ));
             }
-            _ => actions.push(Action::Pass(next)),
+            _ => actions.push(Action::Forward(next)),
         }
     }
 
-    fn lose(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
+    fn mark_unknown(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
         let Some(id) = self.tickets.get(&ticket).copied() else {
             return;
         };
@@ -535,7 +557,7 @@
             return;
         };
         if !matches!(&entry.state, State::InFlight { first, .. } if *first == Some(ticket)) {
-            self.leave(ticket);
+            self.remove_waiter(ticket);
             return;
         }
         let State::InFlight { waiters, .. } = std::mem::replace(&mut entry.state, State::Unknown)
@@ -543,35 +565,35 @@
             return;
         };
         self.tickets.remove(&ticket);
-        self.settle(id, waiters, &Telling::Unknown, actions);
+        self.conclude_with_reply(id, waiters, &TableReply::Unknown, actions);
         if let (true, Some(entry)) = (self.limits.recorded, self.entries.get(&id)) {
-            actions.push(Action::Record(self.record(entry, Known::Unknown), None));
+            actions.push(Action::Record(self.record(entry, KeyStatus::Unknown), None));
         }
     }
 
-    /// An entry has an outcome from now on, and these that waited are told so.
-    fn settle(
+    /// Marks an entry as concluded now, and sends a reply to its waiting requests.
+    fn conclude_with_reply(
         &mut self,
         id: EntryId,
         waiters: Vec<Ticket>,
-        told: &Telling<A>,
+        table_reply: &TableReply<A>,
         actions: &mut Vec<Action<A>>,
     ) {
         let Some(entry) = self.entries.get_mut(&id) else {
             return;
         };
         entry.expires = self.now + self.limits.retention;
-        let holding = self.customers.entry(entry.customer).or_default();
-        holding.waiters -= waiters.len();
-        holding.done.push_back(id);
-        self.done.push_back(id);
+        let usage = self.customers.entry(entry.customer).or_default();
+        usage.waiters -= waiters.len();
+        usage.concluded.push_back(id);
+        self.concluded.push_back(id);
         for waiter in waiters {
             self.tickets.remove(&waiter);
-            actions.push(Action::Tell(waiter, told.clone()));
+            actions.push(Action::Reply(waiter, table_reply.clone()));
         }
     }
 
-    fn learn(
+    fn on_served_elsewhere(
         &mut self,
         customer: Customer,
         key: Key,
@@ -579,12 +601,12 @@
         answer: A,
         actions: &mut Vec<Action<A>>,
     ) {
-        let known = self.by_key.get(&(customer, key.clone())).copied();
-        let id = match known.and_then(|id| self.entries.get_mut(&id).map(|entry| (id, entry))) {
+        let known_id = self.by_key.get(&(customer, key.clone())).copied();
+        let id = match known_id.and_then(|id| self.entries.get_mut(&id).map(|entry| (id, entry))) {
             Some((_, entry)) if entry.fingerprint != fingerprint => return,
             Some((id, entry)) => match &mut entry.state {
                 State::Served { .. } => return,
-                // It has its place among the outcomes already.
+                // The entry is in the queues of concluded entries already.
                 State::Unknown => {
                     entry.state = State::Served { answer: None };
                     id
@@ -594,13 +616,18 @@
                     entry.state = State::Served { answer: None };
                     if let Some(first) = first {
                         self.tickets.remove(&first);
-                        actions.push(Action::Tell(first, Telling::Own(answer.clone())));
+                        actions.push(Action::Reply(first, TableReply::Own(answer.clone())));
                     }
-                    self.settle(id, waiters, &Telling::Replay(answer.clone()), actions);
+                    self.conclude_with_reply(
+                        id,
+                        waiters,
+                        &TableReply::Replay(answer.clone()),
+                        actions,
+                    );
                     id
                 }
             },
-            // More than the bound if need be: what has run is never forgotten.
+            // Exceeds the entry limit if necessary: work that has run is always recorded.
             None => {
                 let id = self.insert(
                     customer,
@@ -609,20 +636,20 @@
                     State::Served { answer: None },
                     0.0,
                 );
-                self.settle(id, Vec::new(), &Telling::NotKept, actions);
+                self.conclude_with_reply(id, Vec::new(), &TableReply::NotKept, actions);
                 id
             }
         };
         if let (true, Some(entry)) = (self.limits.recorded, self.entries.get(&id)) {
             actions.push(Action::Record(
-                self.record(entry, Known::Served(Some(answer.clone()))),
+                self.record(entry, KeyStatus::Served(Some(answer.clone()))),
                 None,
             ));
         }
-        self.keep(id, customer, answer);
+        self.store_answer(id, customer, answer);
     }
 
-    fn unwritten(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
+    fn on_write_failed(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
         let Some(id) = self.tickets.get(&ticket).copied() else {
             return;
         };
@@ -632,49 +659,49 @@
         let State::InFlight {
             first,
             waiters,
-            writing: true,
+            record_pending: true,
         } = &mut entry.state
         else {
             return;
         };
         let (first, waiters, customer) = (*first, std::mem::take(waiters), entry.customer);
         self.tickets.remove(&ticket);
-        if let Some(holding) = self.customers.get_mut(&customer) {
-            holding.waiters -= waiters.len();
+        if let Some(usage) = self.customers.get_mut(&customer) {
+            usage.waiters -= waiters.len();
         }
         actions.push(Action::Drop(ticket));
         for waiter in first.into_iter().chain(waiters) {
             self.tickets.remove(&waiter);
-            actions.push(Action::Tell(waiter, Telling::NotWritten));
+            actions.push(Action::Reply(waiter, TableReply::NotWritten));
         }
-        self.forget(id);
+        self.remove_entry(id);
     }
 
-    /// Takes a record that an earlier life wrote. Records come in the order in which they were written, before any
-    /// event; [`Table::restored`] follows the last. `same_clock` if that life's clock can be compared with this
-    /// one's.
+    /// Restores a record that an earlier incarnation wrote. Records are passed in the order in which they were written
+    /// and before any event; [`Table::finish_restore`] follows the last one. `same_clock` says whether the clock of
+    /// that incarnation is comparable with the current one.
     pub fn restore(&mut self, record: Record<A>, same_clock: bool) {
         let Record {
             customer,
             key,
             fingerprint,
             at,
-            known,
+            status,
         } = record;
         if let Some(id) = self.by_key.get(&(customer, key.clone())).copied() {
-            self.forget_with_answer(id);
+            self.remove_entry_with_answer(id);
         }
-        let kept = if same_clock {
+        let concluded_at = if same_clock {
             at.min(self.now)
         } else {
             self.now
         };
-        let (expires, answer) = match known {
-            Known::Gone => return,
-            // It may have run until that life's end, which nothing tells.
-            Known::Claimed => (self.now + self.limits.retention, None),
-            Known::Unknown => (kept + self.limits.retention, None),
-            Known::Served(answer) => (kept + self.limits.retention, Some(answer)),
+        let (expires, answer) = match status {
+            KeyStatus::Removed => return,
+            // The request may have run until the end of that incarnation, and the log does not contain that time.
+            KeyStatus::Claimed => (self.now + self.limits.retention, None),
+            KeyStatus::Unknown => (concluded_at + self.limits.retention, None),
+            KeyStatus::Served(answer) => (concluded_at + self.limits.retention, Some(answer)),
         };
         if expires <= self.now {
             return;
@@ -685,54 +712,55 @@
         };
         let id = self.insert(customer, key, fingerprint, state, expires);
         if let Some(Some(answer)) = answer {
-            self.keep(id, customer, answer);
+            self.store_answer(id, customer, answer);
         }
     }
 
-    /// All that earlier lives wrote has been taken.
-    pub fn restored(&mut self) {
+    /// Ends the restore, after the last record: rebuilds the queues of concluded entries in the order of expiry.
+    pub fn finish_restore(&mut self) {
         let mut ids: Vec<(Millis, EntryId)> = self
             .entries
             .iter()
             .map(|(id, entry)| (entry.expires, *id))
             .collect();
         ids.sort_by(|one, other| one.0.total_cmp(&other.0).then(one.1.cmp(&other.1)));
-        for holding in self.customers.values_mut() {
-            holding.done.clear();
-            holding.answers.clear();
+        for usage in self.customers.values_mut() {
+            usage.concluded.clear();
+            usage.answers.clear();
         }
-        self.done = ids.iter().map(|(_, id)| *id).collect();
+        self.concluded = ids.iter().map(|(_, id)| *id).collect();
         for (_, id) in ids {
             let Some(entry) = self.entries.get(&id) else {
                 continue;
             };
-            let holding = self.customers.entry(entry.customer).or_default();
-            holding.done.push_back(id);
+            let usage = self.customers.entry(entry.customer).or_default();
+            usage.concluded.push_back(id);
             if matches!(entry.state, State::Served { answer: Some(_) }) {
-                holding.answers.push_back(id);
+                usage.answers.push_back(id);
             }
         }
     }
 
-    /// The records of some entries more, and how far that is; all have been told when it comes back without a place.
-    /// What is told to the log of changes meanwhile stands behind these there, and so holds.
-    pub fn sweep(&self, from: Sweep, most: usize) -> (Vec<Record<A>>, Option<Sweep>) {
+    /// Returns the records of up to `most` entries from a position on, and the position of the next call, or `None`
+    /// once all entries have been returned. The host uses them to rewrite its log. Records of changes during a sweep
+    /// are appended behind those of the sweep, and so take precedence.
+    pub fn sweep(&self, cursor: SweepCursor, most: usize) -> (Vec<Record<A>>, Option<SweepCursor>) {
         let mut records = Vec::new();
-        for (id, entry) in self.entries.range(EntryId(from.0)..) {
+        for (id, entry) in self.entries.range(EntryId(cursor.0)..) {
             if records.len() >= most {
-                return (records, Some(Sweep(id.0)));
+                return (records, Some(SweepCursor(id.0)));
             }
-            let (known, at) = match &entry.state {
-                State::InFlight { .. } => (Known::Claimed, self.now),
+            let (status, at) = match &entry.state {
+                State::InFlight { .. } => (KeyStatus::Claimed, self.now),
                 State::Served { answer } => (
-                    Known::Served(answer.clone()),
+                    KeyStatus::Served(answer.clone()),
                     entry.expires - self.limits.retention,
                 ),
-                State::Unknown => (Known::Unknown, entry.expires - self.limits.retention),
+                State::Unknown => (KeyStatus::Unknown, entry.expires - self.limits.retention),
             };
             records.push(Record {
                 at,
-                ..self.record(entry, known)
+                ..self.record(entry, status)
             });
         }
         (records, None)
@@ -746,8 +774,8 @@
         state: State<A>,
         expires: Millis,
     ) -> EntryId {
-        let id = EntryId(self.next);
-        self.next += 1;
+        let id = EntryId(self.next_id);
+        self.next_id += 1;
         self.entries.insert(
             id,
             Entry {
@@ -763,9 +791,9 @@
         id
     }
 
-    /// A customer's part of a bound: one at least.
-    fn share(&self, of: usize) -> usize {
-        ((of as f64 * self.limits.customer_share) as usize).max(1)
+    /// A customer's share of a limit, at least 1.
+    fn share(&self, limit: usize) -> usize {
+        ((limit as f64 * self.limits.customer_share) as usize).max(1)
     }
 
     fn conclude(
@@ -783,7 +811,7 @@
         };
         let state = match outcome {
             Outcome::Served => State::Served { answer: None },
-            Outcome::Refused | Outcome::Failed => State::Unknown,
+            Outcome::Rejected | Outcome::Failed => State::Unknown,
         };
         let State::InFlight { first, waiters, .. } = std::mem::replace(&mut entry.state, state)
         else {
@@ -792,54 +820,57 @@
         let customer = entry.customer;
         entry.expires = self.now + self.limits.retention;
         if first.is_some() {
-            actions.push(Action::Tell(ticket, Telling::Own(answer.clone())));
+            actions.push(Action::Reply(ticket, TableReply::Own(answer.clone())));
         }
-        if let Some(holding) = self.customers.get_mut(&customer) {
-            holding.waiters -= waiters.len();
+        if let Some(usage) = self.customers.get_mut(&customer) {
+            usage.waiters -= waiters.len();
         }
         for waiter in waiters {
             self.tickets.remove(&waiter);
-            actions.push(Action::Tell(waiter, Telling::Replay(answer.clone())));
+            actions.push(Action::Reply(waiter, TableReply::Replay(answer.clone())));
         }
         if let (true, Some(entry)) = (self.limits.recorded, self.entries.get(&id)) {
-            let known = match outcome {
-                Outcome::Served => Known::Served(Some(answer.clone())),
-                Outcome::Refused => Known::Gone,
-                Outcome::Failed => Known::Unknown,
+            let status = match outcome {
+                Outcome::Served => KeyStatus::Served(Some(answer.clone())),
+                Outcome::Rejected => KeyStatus::Removed,
+                Outcome::Failed => KeyStatus::Unknown,
             };
-            actions.push(Action::Record(self.record(entry, known), None));
+            actions.push(Action::Record(self.record(entry, status), None));
         }
         match outcome {
-            // It never ran: a repeat is new work.
-            Outcome::Refused => self.forget(id),
+            // The request never ran, so a repeat is new work.
+            Outcome::Rejected => self.remove_entry(id),
             Outcome::Served | Outcome::Failed => {
-                self.done.push_back(id);
+                self.concluded.push_back(id);
                 self.customers
                     .entry(customer)
                     .or_default()
-                    .done
+                    .concluded
                     .push_back(id);
             }
         }
         if outcome == Outcome::Served {
-            self.keep(id, customer, answer);
+            self.store_answer(id, customer, answer);
         }
     }
 
-    /// Keeps an answer, within the customer's share and the whole; the oldest of its own gives way first, then the
-    /// oldest of whoever holds most.
-    fn keep(&mut self, id: EntryId, customer: Customer, answer: A) {
-        let weight = answer.weight();
+    /// Keeps an answer within the customer's share and the total limit. If the share is full, the customer's own oldest
+    /// answers are evicted; if the total is, the oldest answers of the customer that uses most bytes. An answer that is
+    /// larger than the share is not kept.
+    fn store_answer(&mut self, id: EntryId, customer: Customer, answer: A) {
+        let weight = answer.size_bytes();
         let share = self
             .share(self.limits.answer_bytes)
             .min(self.limits.answer_bytes);
         if weight > share {
             return;
         }
-        while self.held(customer) + weight > share && self.let_go_of_answer(customer) {}
+        while self.answer_bytes_of(customer) + weight > share && self.evict_oldest_answer(customer)
+        {
+        }
         while self.bytes + weight > self.limits.answer_bytes {
-            let most = self.by_bytes.last().map(|(_, customer)| *customer);
-            if !most.is_some_and(|customer| self.let_go_of_answer(customer)) {
+            let largest = self.by_bytes.last().map(|(_, customer)| *customer);
+            if !largest.is_some_and(|customer| self.evict_oldest_answer(customer)) {
                 return;
             }
         }
@@ -852,44 +883,42 @@
                 .or_default()
                 .answers
                 .push_back(id);
-            self.change_bytes(customer, weight, 0);
+            self.update_bytes(customer, weight, 0);
         }
     }
 
-    fn held(&self, customer: Customer) -> usize {
-        self.customers
-            .get(&customer)
-            .map_or(0, |holding| holding.bytes)
+    fn answer_bytes_of(&self, customer: Customer) -> usize {
+        self.customers.get(&customer).map_or(0, |usage| usage.bytes)
     }
 
-    /// Lets go of a customer's oldest kept answer; false if there is none.
-    fn let_go_of_answer(&mut self, customer: Customer) -> bool {
+    /// Evicts a customer's oldest kept answer. Returns false if there is none.
+    fn evict_oldest_answer(&mut self, customer: Customer) -> bool {
         let oldest = self
             .customers
             .get_mut(&customer)
-            .and_then(|holding| holding.answers.pop_front());
+            .and_then(|usage| usage.answers.pop_front());
         let Some(entry) = oldest.and_then(|id| self.entries.get_mut(&id)) else {
             return false;
         };
         if let State::Served { answer } = &mut entry.state {
-            let weight = answer.take().map_or(0, |answer| answer.weight());
-            self.change_bytes(customer, 0, weight);
+            let weight = answer.take().map_or(0, |answer| answer.size_bytes());
+            self.update_bytes(customer, 0, weight);
         }
         true
     }
 
-    fn change_bytes(&mut self, customer: Customer, more: usize, less: usize) {
-        let holding = self.customers.entry(customer).or_default();
-        self.by_bytes.remove(&(holding.bytes, customer));
-        holding.bytes = holding.bytes + more - less;
-        self.bytes = self.bytes + more - less;
-        if holding.bytes > 0 {
-            self.by_bytes.insert((holding.bytes, customer));
+    fn update_bytes(&mut self, customer: Customer, added: usize, removed: usize) {
+        let usage = self.customers.entry(customer).or_default();
+        self.by_bytes.remove(&(usage.bytes, customer));
+        usage.bytes = usage.bytes + added - removed;
+        self.bytes = self.bytes + added - removed;
+        if usage.bytes > 0 {
+            self.by_bytes.insert((usage.bytes, customer));
         }
     }
 
-    /// Takes a request out that waits; false if it is a first, or none.
-    fn leave(&mut self, ticket: Ticket) -> bool {
+    /// Removes a waiting request. Returns false for a first or an unknown one.
+    fn remove_waiter(&mut self, ticket: Ticket) -> bool {
         let Some(id) = self.tickets.get(&ticket).copied() else {
             return false;
         };
@@ -900,28 +929,30 @@
             return false;
         };
         if *first == Some(ticket) {
-            // It goes on if it is out, so that a repeat has its outcome; its ticket stays, to say what came of it.
+            // A request that was forwarded continues, so that repeats get its outcome. Its ticket stays valid for
+            // reporting the outcome.
             *first = None;
             return false;
         }
-        // A first that has left already is none of the waiters.
-        let Some(place) = waiters.iter().position(|waiter| *waiter == ticket) else {
+        // A first request whose client has disconnected before is not among the waiting ones.
+        let Some(position) = waiters.iter().position(|waiter| *waiter == ticket) else {
             return false;
         };
-        waiters.remove(place);
+        waiters.remove(position);
         self.tickets.remove(&ticket);
-        if let Some(holding) = self.customers.get_mut(&entry.customer) {
-            holding.waiters -= 1;
+        if let Some(usage) = self.customers.get_mut(&entry.customer) {
+            usage.waiters -= 1;
         }
         true
     }
 
-    /// Forgets what has been kept for its time.
+    /// Removes entries whose retention period is over.
     fn expire(&mut self) {
-        if !self.extended.is_empty() {
-            self.extended.retain(|_, opens| *opens > self.now);
+        if !self.extended_quiet.is_empty() {
+            self.extended_quiet
+                .retain(|_, quiet_until| *quiet_until > self.now);
         }
-        while let Some(id) = self.done.front().copied() {
+        while let Some(id) = self.concluded.front().copied() {
             let Some(entry) = self.entries.get(&id) else {
                 return;
             };
@@ -929,19 +960,19 @@
                 return;
             }
             let customer = entry.customer;
-            self.done.pop_front();
-            if let Some(holding) = self.customers.get_mut(&customer) {
-                holding.done.pop_front();
-                if holding.answers.front() == Some(&id) {
-                    self.let_go_of_answer(customer);
+            self.concluded.pop_front();
+            if let Some(usage) = self.customers.get_mut(&customer) {
+                usage.concluded.pop_front();
+                if usage.answers.front() == Some(&id) {
+                    self.evict_oldest_answer(customer);
                 }
             }
-            self.forget(id);
+            self.remove_entry(id);
         }
     }
 
-    /// Forgets an entry whose answer may be kept and which stands in no order of outcomes.
-    fn forget_with_answer(&mut self, id: EntryId) {
+    /// Removes an entry and its answer, if one is kept. The entry must not be in a queue of concluded entries.
+    fn remove_entry_with_answer(&mut self, id: EntryId) {
         if let Some(Entry {
             customer,
             state: State::Served {
@@ -950,23 +981,23 @@
             ..
         }) = self.entries.get(&id)
         {
-            let (customer, weight) = (*customer, answer.weight());
-            self.change_bytes(customer, 0, weight);
-            if let Some(holding) = self.customers.get_mut(&customer) {
-                holding.answers.retain(|kept| *kept != id);
+            let (customer, weight) = (*customer, answer.size_bytes());
+            self.update_bytes(customer, 0, weight);
+            if let Some(usage) = self.customers.get_mut(&customer) {
+                usage.answers.retain(|kept| *kept != id);
             }
         }
-        self.forget(id);
+        self.remove_entry(id);
     }
 
-    fn forget(&mut self, id: EntryId) {
+    fn remove_entry(&mut self, id: EntryId) {
         let Some(entry) = self.entries.remove(&id) else {
             return;
         };
         self.by_key.remove(&(entry.customer, entry.key));
-        if let Some(holding) = self.customers.get_mut(&entry.customer) {
-            holding.entries -= 1;
-            if holding.entries == 0 {
+        if let Some(usage) = self.customers.get_mut(&entry.customer) {
+            usage.entries -= 1;
+            if usage.entries == 0 {
                 self.customers.remove(&entry.customer);
             }
         }
@@ -976,6 +1007,6 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Outcome {
     Served,
-    Refused,
+    Rejected,
     Failed,
 }
--- a/crates/emberpin-idempotency/tests/explore.rs
+++ b/crates/emberpin-idempotency/tests/explore.rs
@@ -1,6 +1,6 @@
-//! Every way in which a few events can come, explored to a depth: one key of one customer, three limiters, a first
-//! and two repeats, outcomes, kills with the attempt out, time, and clocks that step back. No way may let the
-//! key's work on twice within its retention unless it is known never to have run.
+//! Explores all sequences of a few events up to a depth: one key of one customer at three limiters, a first request and
+//! two repeats, outcomes, kills with a request in flight, elapsed time, and clocks that step back. No sequence may
+//! forward the key's request a second time within its retention period, unless it is known never to have run.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_idempotency::*;
@@ -13,24 +13,24 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Nothing;
 
-impl Weight for Nothing {
-    fn weight(&self) -> usize {
+impl SizeInBytes for Nothing {
+    fn size_bytes(&self) -> usize {
         0
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// The request, or a repeat of it, comes to a limiter.
-    Arrives(u32),
+    /// The request, or a repeat of it, arrives at a limiter.
+    Arrive(u32),
     Served,
-    Refused,
+    Rejected,
     Failed,
-    /// A limiter is killed and starts anew; what it had out may run yet.
-    Killed(u32),
-    Passes(Millis),
+    /// A limiter is killed and restarts. The request that it had in flight may still run.
+    Kill(u32),
+    Elapse(Millis),
     /// A limiter's clock steps back.
-    StepsBack(u32),
+    ClockSetBack(u32),
 }
 
 #[derive(Clone)]
@@ -38,16 +38,16 @@
     limits: Limits,
     time: Millis,
     tables: Vec<Table<Nothing>>,
-    /// Each limiter's clock is so far from the true time.
-    skew: Vec<Millis>,
+    /// The offset of each limiter's clock from the true time.
+    clock_offset: Vec<Millis>,
     arrivals: u64,
-    /// The first that is out, and where.
-    out: Option<(u32, Ticket)>,
-    /// The key's work may have run; the latest time at which that was so.
-    ran: Option<Millis>,
-    /// The key was let on although it may have run within its retention.
-    twice: bool,
-    let_on: u32,
+    /// The first request in flight, and the limiter that forwarded it.
+    in_flight: Option<(u32, Ticket)>,
+    /// The latest time at which the request may have run, if it may.
+    last_ran_at: Option<Millis>,
+    /// Whether the request was forwarded although it may have run within the retention period, or was still in flight.
+    forwarded_twice: bool,
+    forwarded: u32,
 }
 
 impl World {
@@ -63,141 +63,145 @@
             wait: true,
             recorded: false,
         };
-        // The clocks of two limiters are five seconds apart; all have long been up.
-        let skew = vec![0.0, 5000.0, -5000.0];
-        let tables = skew
+        // The clocks of two limiters differ from the true time by five seconds each way. All limiters started ten
+        // retention periods ago.
+        let clock_offset = vec![0.0, 5000.0, -5000.0];
+        let tables = clock_offset
             .iter()
-            .map(|skew| Table::new(limits.clone(), skew - 10.0 * RETENTION))
+            .map(|clock_offset| Table::new(limits.clone(), clock_offset - 10.0 * RETENTION))
             .collect();
-        let (time, arrivals, out, ran) = (0.0, 0, None, None);
+        let (time, arrivals, in_flight, last_ran_at) = (0.0, 0, None, None);
         World {
             limits,
             time,
             tables,
-            skew,
+            clock_offset,
             arrivals,
-            out,
-            ran,
-            twice: false,
-            let_on: 0,
+            in_flight,
+            last_ran_at,
+            forwarded_twice: false,
+            forwarded: 0,
         }
     }
 
-    fn tell(&mut self, limiter: u32, event: Event<Nothing>) -> Vec<Action<Nothing>> {
+    fn handle_at(&mut self, limiter: u32, event: Event<Nothing>) -> Vec<Action<Nothing>> {
         let mut actions = Vec::new();
-        let now = self.time + self.skew[limiter as usize];
+        let now = self.time + self.clock_offset[limiter as usize];
         self.tables[limiter as usize].handle(now, event, &mut actions);
         actions
     }
 
-    /// Whether the step can come now; it has then.
-    fn take(&mut self, step: Step) -> bool {
+    /// Performs a step. Returns false if it is not possible in this state.
+    fn perform(&mut self, step: Step) -> bool {
         match step {
-            Step::Arrives(limiter) => {
+            Step::Arrive(limiter) => {
                 if self.arrivals == ARRIVALS {
                     return false;
                 }
                 let ticket = Ticket(self.arrivals);
                 self.arrivals += 1;
-                // As the host does it: another limiter's keys are sent away.
+                // As in the host, a request for another limiter's key does not reach the table.
                 if owner(CUSTOMER, 0, GROUP, GROUP) != Some(limiter) {
                     return true;
                 }
                 let key = Key::parse("k", Form::QuotedOrBare).expect("a key");
-                let fingerprint = Fingerprint::of(&Secret::new([0; 32]), "POST", "/api", 1, b"");
+                let fingerprint =
+                    Fingerprint::compute(&Secret::new([0; 32]), "POST", "/api", 1, b"");
                 let arrived = Event::Arrived {
                     ticket,
                     customer: CUSTOMER,
                     key,
                     fingerprint,
                 };
-                if self.tell(limiter, arrived) == [Action::Pass(ticket)] {
-                    self.twice |= self.out.is_some();
-                    self.twice |= self.ran.is_some_and(|at| self.time < at + RETENTION);
-                    self.let_on += 1;
-                    self.out = Some((limiter, ticket));
+                if self.handle_at(limiter, arrived) == [Action::Forward(ticket)] {
+                    self.forwarded_twice |= self.in_flight.is_some();
+                    self.forwarded_twice |= self
+                        .last_ran_at
+                        .is_some_and(|at| self.time < at + RETENTION);
+                    self.forwarded += 1;
+                    self.in_flight = Some((limiter, ticket));
                 }
                 true
             }
-            Step::Served | Step::Refused | Step::Failed => {
-                let Some((limiter, ticket)) = self.out.take() else {
+            Step::Served | Step::Rejected | Step::Failed => {
+                let Some((limiter, ticket)) = self.in_flight.take() else {
                     return false;
                 };
                 let answer = Nothing;
                 let event = match step {
                     Step::Served => Event::Served { ticket, answer },
-                    Step::Refused => Event::Refused { ticket, answer },
+                    Step::Rejected => Event::Rejected { ticket, answer },
                     _ => Event::Failed { ticket, answer },
                 };
-                if !matches!(step, Step::Refused) {
-                    self.ran = Some(self.time);
+                if !matches!(step, Step::Rejected) {
+                    self.last_ran_at = Some(self.time);
                 }
-                self.tell(limiter, event);
+                self.handle_at(limiter, event);
                 true
             }
-            Step::Killed(limiter) => {
-                if self.out.take_if(|(at, _)| *at == limiter).is_some() {
-                    self.ran = Some(self.time);
+            Step::Kill(limiter) => {
+                if self.in_flight.take_if(|(at, _)| *at == limiter).is_some() {
+                    self.last_ran_at = Some(self.time);
                 }
-                let now = self.time + self.skew[limiter as usize];
+                let now = self.time + self.clock_offset[limiter as usize];
                 self.tables[limiter as usize] = Table::new(self.limits.clone(), now);
                 true
             }
-            Step::Passes(time) => {
+            Step::Elapse(time) => {
                 self.time += time;
                 true
             }
-            Step::StepsBack(limiter) => {
-                self.skew[limiter as usize] -= RETENTION / 2.0;
+            Step::ClockSetBack(limiter) => {
+                self.clock_offset[limiter as usize] -= RETENTION / 2.0;
                 true
             }
         }
     }
 }
 
-/// What came of all ways to a depth.
+/// The results of all sequences up to a depth.
 #[derive(Default)]
 struct Explored {
-    ways: u64,
-    /// The first way that let the work on twice.
-    twice: Option<Vec<Step>>,
-    /// Ways on which it was let on again rightly.
-    again: u64,
+    sequences: u64,
+    /// The first sequence that forwarded the request twice.
+    forwarded_twice: Option<Vec<Step>>,
+    /// The number of sequences that rightly forwarded the request again.
+    forwarded_again: u64,
 }
 
 fn explore(
     world: &World,
     steps: &[Step],
     depth: usize,
-    way: &mut Vec<Step>,
+    sequence: &mut Vec<Step>,
     explored: &mut Explored,
 ) {
-    explored.ways += 1;
-    explored.again += u64::from(world.let_on > 1);
-    if world.twice && explored.twice.is_none() {
-        explored.twice = Some(way.clone());
+    explored.sequences += 1;
+    explored.forwarded_again += u64::from(world.forwarded > 1);
+    if world.forwarded_twice && explored.forwarded_twice.is_none() {
+        explored.forwarded_twice = Some(sequence.clone());
     }
-    if depth == 0 || explored.twice.is_some() {
+    if depth == 0 || explored.forwarded_twice.is_some() {
         return;
     }
     for step in steps {
         let mut next = world.clone();
-        if next.take(*step) {
-            way.push(*step);
-            explore(&next, steps, depth - 1, way, explored);
-            way.pop();
+        if next.perform(*step) {
+            sequence.push(*step);
+            explore(&next, steps, depth - 1, sequence, explored);
+            sequence.pop();
         }
     }
 }
 
-fn all(quiet: Millis, limiters: &[u32], depth: usize) -> Explored {
-    let mut steps = vec![Step::Served, Step::Refused, Step::Failed];
-    steps.extend([Step::Passes(RETENTION / 2.0), Step::Passes(RETENTION)]);
+fn explore_all(quiet: Millis, limiters: &[u32], depth: usize) -> Explored {
+    let mut steps = vec![Step::Served, Step::Rejected, Step::Failed];
+    steps.extend([Step::Elapse(RETENTION / 2.0), Step::Elapse(RETENTION)]);
     for limiter in limiters {
         steps.extend([
-            Step::Arrives(*limiter),
-            Step::Killed(*limiter),
-            Step::StepsBack(*limiter),
+            Step::Arrive(*limiter),
+            Step::Kill(*limiter),
+            Step::ClockSetBack(*limiter),
         ]);
     }
     let mut explored = Explored::default();
@@ -212,26 +216,35 @@
 }
 
 #[test]
-fn no_way_signs_twice_within_the_retention() {
-    // All three limiters, then deeper with the owner alone: only what comes to it can change anything.
-    let own = owner(CUSTOMER, 0, GROUP, GROUP).expect("an owner");
-    for (limiters, depth) in [(vec![0, 1, 2], 5), (vec![own], 7)] {
-        let explored = all(RETENTION, &limiters, depth);
-        assert!(explored.twice.is_none(), "{:?}", explored.twice);
+fn no_sequence_of_events_forwards_a_request_twice_within_the_retention() {
+    // All three limiters, then deeper with the owner alone: only requests at the owner reach a table.
+    let owner_number = owner(CUSTOMER, 0, GROUP, GROUP).expect("an owner");
+    for (limiters, depth) in [(vec![0, 1, 2], 5), (vec![owner_number], 7)] {
+        let explored = explore_all(RETENTION, &limiters, depth);
         assert!(
-            explored.ways > 100_000 && explored.again > 1000,
+            explored.forwarded_twice.is_none(),
+            "{:?}",
+            explored.forwarded_twice
+        );
+        assert!(
+            explored.sequences > 100_000 && explored.forwarded_again > 1000,
             "{} {}",
-            explored.ways,
-            explored.again
+            explored.sequences,
+            explored.forwarded_again
         );
     }
 }
 
-/// What the other test shows means nothing unless a table that forgets too soon is found out.
+/// The exploration must be able to detect a table that forgets a key too early.
 #[test]
-fn a_quiet_time_shorter_than_the_retention_is_found_out() {
-    let own = owner(CUSTOMER, 0, GROUP, GROUP).expect("an owner");
+fn a_quiet_period_shorter_than_the_retention_forwards_a_request_twice() {
+    let owner_number = owner(CUSTOMER, 0, GROUP, GROUP).expect("an owner");
     for quiet in [0.0, RETENTION / 2.0] {
-        assert!(all(quiet, &[own], 5).twice.is_some(), "{quiet}");
+        assert!(
+            explore_all(quiet, &[owner_number], 5)
+                .forwarded_twice
+                .is_some(),
+            "{quiet}"
+        );
     }
 }
--- a/crates/emberpin-limiter/src/upstream/wire.rs
+++ b/crates/emberpin-limiter/src/upstream/wire.rs
@@ -1,4 +1,5 @@
-//! How requests and answers are worded between a limiter and its servers: the host of connections is given it.
+//! The headers of one deployment between a limiter and its servers: those that requests carry, and the meaning of those
+//! in responses.
 
 use crate::messages::ResponseHead;
 use emberpin_balancer::host_config::load_report_field;
@@ -7,66 +8,77 @@
 use hyper::{Response, StatusCode};
 use std::time::Duration;
 
-/// The words of one deployment.
+/// The header conventions of one deployment.
 pub trait Wire {
-    /// Tells a server how long is left, and which life of it is meant.
-    fn address(&self, headers: &mut HeaderMap, left: Duration, instance: Option<&HeaderValue>);
+    /// Adds the headers that state the time left for the request, and the incarnation of the server that it is meant for.
+    fn set_request_headers(
+        &self,
+        headers: &mut HeaderMap,
+        left: Duration,
+        instance: Option<&HeaderValue>,
+    );
 
-    /// What an answer must carry to be that of a request with these headers, where answers carry anything.
-    fn mark(&self, headers: &HeaderMap) -> Option<HeaderValue>;
+    /// The id by which a response to a request with these headers is recognised; `None` where responses carry no request id.
+    fn request_id(&self, headers: &HeaderMap) -> Option<HeaderValue>;
 
-    /// Whether an answer with these headers is that of the request with this mark.
-    fn belongs(&self, mark: Option<&HeaderValue>, headers: &HeaderMap) -> bool;
+    /// Whether a response with these headers belongs to the request with this id.
+    fn response_belongs(&self, request_id: Option<&HeaderValue>, headers: &HeaderMap) -> bool;
 
-    /// How an attempt ended that got this answer. A good answer is one that its client may have as it is.
-    fn judge(&self, mark: Option<&HeaderValue>, response: &Response<()>) -> Outcome;
+    /// The outcome of an attempt that received this response. [`Outcome::Ok`] means that the client may receive it as it is.
+    fn outcome(&self, request_id: Option<&HeaderValue>, response: &Response<()>) -> Outcome;
 
-    /// Whether a server may begin to run a request of which only a part has come: an attempt that broke off after its
-    /// first byte is then no longer one that never ran.
+    /// Whether a server may begin to run a request of which only a part has arrived. If so, an attempt that broke off after
+    /// its first byte may have run.
     fn may_run_in_part(&self) -> bool {
         false
     }
 
-    /// For how long the server keeps the connection idle, less a part for safety, if it says.
-    fn keeps_idle(&self, headers: &HeaderMap) -> Option<Duration>;
+    /// How long the server states that it keeps the idle connection open, less a safety margin; `None` if it does not state
+    /// it.
+    fn idle_timeout(&self, headers: &HeaderMap) -> Option<Duration>;
 
-    /// What an answer says, beside its body.
-    fn describe(&self, outcome: Outcome, response: Response<()>) -> Described;
+    /// Reads the information in a response's head.
+    fn describe_response(&self, outcome: Outcome, response: Response<()>) -> ResponseInfo;
 }
 
-/// What an answer says, beside its body.
-pub struct Described {
-    /// How it begins for its client.
+/// The information in a response's head.
+pub struct ResponseInfo {
+    /// The head that the client receives.
     pub head: ResponseHead,
-    /// What the server said of its load.
+    /// The load that the server reported.
     pub load: LoadReport,
-    /// The customer's metered use as a share of its rate.
+    /// The customer's metered use as a share of its rate, where the server reported it.
     pub metered: Option<f64>,
-    /// Another server answered than the one that was meant.
+    /// Another server answered than the one that the request was meant for.
     pub misdirected: bool,
-    /// It is the client's even though it is no good answer, if no attempt brings a better one.
-    pub stands: bool,
+    /// The client may receive this response although it is an error, if no attempt brings a better one.
+    pub is_forwardable: bool,
 }
 
-/// The words of the limiter that `GW_CONFIG` starts.
+/// The headers of the limiter that is configured by `GW_CONFIG`.
 pub struct PlatformWire;
 
 impl Wire for PlatformWire {
-    fn address(&self, headers: &mut HeaderMap, left: Duration, _: Option<&HeaderValue>) {
+    fn set_request_headers(
+        &self,
+        headers: &mut HeaderMap,
+        left: Duration,
+        _: Option<&HeaderValue>,
+    ) {
         if let Ok(value) = HeaderValue::try_from(format!("{:.3}", left.as_secs_f64())) {
             headers.insert("req-deadline", value);
         }
     }
 
-    fn mark(&self, _: &HeaderMap) -> Option<HeaderValue> {
+    fn request_id(&self, _: &HeaderMap) -> Option<HeaderValue> {
         None
     }
 
-    fn belongs(&self, _: Option<&HeaderValue>, _: &HeaderMap) -> bool {
+    fn response_belongs(&self, _: Option<&HeaderValue>, _: &HeaderMap) -> bool {
         true
     }
 
-    fn judge(&self, _: Option<&HeaderValue>, response: &Response<()>) -> Outcome {
+    fn outcome(&self, _: Option<&HeaderValue>, response: &Response<()>) -> Outcome {
         let declined = response
             .headers()
             .get("srv-declined")
@@ -80,11 +92,11 @@
         }
     }
 
-    fn keeps_idle(&self, _: &HeaderMap) -> Option<Duration> {
+    fn idle_timeout(&self, _: &HeaderMap) -> Option<Duration> {
         None
     }
 
-    fn describe(&self, _: Outcome, response: Response<()>) -> Described {
+    fn describe_response(&self, _: Outcome, response: Response<()>) -> ResponseInfo {
         let all = |name: &str| {
             response
                 .headers()
@@ -92,31 +104,32 @@
                 .iter()
                 .filter_map(|value| value.to_str().ok())
         };
-        // What cannot be read is passed over.
-        let used = all("x-ratelimit-used").find_map(number);
+        // Values that cannot be parsed are skipped.
+        let used = all("x-ratelimit-used").find_map(parse_number);
         let mut report = LoadReport::default();
         for (name, value) in all("srv-load")
             .flat_map(|text| text.split(','))
             .filter_map(|pair| pair.split_once('='))
         {
-            // Of two readable values the first counts.
+            // Of two valid values of a field, the first counts.
             if let Some(field) =
                 load_report_field(&mut report, name.trim()).filter(|field| field.is_none())
             {
-                *field = number(value);
+                *field = parse_number(value);
             }
         }
-        Described {
+        ResponseInfo {
             head: ResponseHead::of_type(response.headers().get(CONTENT_TYPE).cloned()),
             load: report,
             metered: used.map(|percent| percent / 100.0),
             misdirected: false,
-            stands: false,
+            is_forwardable: false,
         }
     }
 }
 
-fn number(text: &str) -> Option<f64> {
+/// Parses a finite number that is not negative.
+fn parse_number(text: &str) -> Option<f64> {
     text.trim()
         .parse()
         .ok()
--- a/crates/emberpin-proxy/src/frontend/mod.rs
+++ b/crates/emberpin-proxy/src/frontend/mod.rs
@@ -1,4 +1,4 @@
-//! The clients' side: receives requests, has the controller route them, and writes the one response to each.
+//! The clients' side: receives requests, has the controller route them, and writes one response to each.
 
 mod pending_reply;
 mod readiness;
@@ -11,13 +11,14 @@
 use bytes::Bytes;
 use emberpin_balancer::{ClassId, RequestId};
 use emberpin_limiter::host::{
-    passed_on, plain, run_out, strip, take_in, Active, Answer, Connection, Content, Figures, Reply,
-    RequestBody, RequestHandler, Upload, UpstreamRequest,
+    buffer_body_start, discard_body, empty_response, remove_hop_by_hop_headers, streamed_response,
+    Active, Answer, Connection, Content, LimiterMetrics, Reply, RequestBody, RequestHandler,
+    Upload, UpstreamRequest,
 };
 use hyper::body::{Body, Incoming};
 use hyper::{Request, Response, StatusCode};
 use pending_reply::PendingReply;
-use response::{answer_response, record_ending, Rejection};
+use response::{answer_response, record_outcome, Rejection};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -30,24 +31,24 @@
 
 /// Longest time for which a client may send nothing of a body that it is uploading.
 const UPLOAD_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often that is checked.
+/// How often the idle time of an upload is checked.
 const UPLOAD_IDLE_CHECK_PERIOD: Duration = Duration::from_millis(500);
 /// Longest wait of a streamed response for one of the download slots.
 const DOWNLOAD_SLOT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// `Retry-After` of a request whose body would need an upload slot while all are taken.
+/// `Retry-After` of a request whose body would need an upload slot while all are in use.
 const RETRY_AFTER_NO_UPLOAD_SLOT: Duration = Duration::from_millis(500);
-/// Fewest slots for streamed bodies in each direction, however little memory there is.
+/// Lower bound of the slots for streamed bodies in each direction, however little memory there is.
 const MIN_STREAM_SLOTS: usize = 4;
 
 /// Handles the requests of all clients.
 pub struct ClientFrontend {
     published: Rc<PublishedState>,
     commands: mpsc::Sender<Command>,
-    /// Wraps around; a number is free again long before.
-    next_request: Cell<u32>,
-    figures: Arc<Figures>,
+    /// Id of the next request. Wraps around; by then, the earlier request with the same id has long ended.
+    next_request_id: Cell<u32>,
+    limiter_metrics: Arc<LimiterMetrics>,
     metrics: Rc<ProxyMetrics>,
-    /// Slots for request bodies that are streamed to a server, each of which holds a buffer.
+    /// Slots for request bodies that are streamed to a server. Each such body uses a buffer.
     upload_slots: Arc<Semaphore>,
     /// Slots for response bodies that are streamed to a client.
     download_slots: Arc<Semaphore>,
@@ -67,7 +68,7 @@
     pub fn new(
         published: Rc<PublishedState>,
         commands: mpsc::Sender<Command>,
-        figures: Arc<Figures>,
+        limiter_metrics: Arc<LimiterMetrics>,
         metrics: Rc<ProxyMetrics>,
         stream_slots: usize,
     ) -> Rc<ClientFrontend> {
@@ -75,8 +76,8 @@
         Rc::new(ClientFrontend {
             published,
             commands,
-            next_request: Cell::new(0),
-            figures,
+            next_request_id: Cell::new(0),
+            limiter_metrics,
             metrics,
             upload_slots: slots(),
             download_slots: slots(),
@@ -89,7 +90,7 @@
         connection: &Rc<Connection>,
     ) -> Result<Response<Content>, Rejection> {
         if self.published.rejects_requests() {
-            spawn_local(run_out(request.into_body()));
+            spawn_local(discard_body(request.into_body()));
             self.metrics.count_rejection(RejectionCause::ShuttingDown);
             return Err(Rejection::RetryLater(Duration::ZERO));
         }
@@ -98,7 +99,7 @@
             self.metrics.count_rejection(RejectionCause::Request);
         }
         let request = received?;
-        let active = self.figures.taken(ClassId(0));
+        let active = self.limiter_metrics.start_request(ClassId(0));
         let reply = self.forward(request).await?;
         Ok(self.respond_with(reply, active, connection).await)
     }
@@ -109,12 +110,13 @@
         request: Request<Incoming>,
         connection: &Connection,
     ) -> Result<ReceivedRequest, Rejection> {
-        // Request smuggling: a body framed in two ways could hide another request from whoever follows the other one.
-        if connection.is_doubtful() {
+        // Request smuggling: a body with two contradictory framings could hide another request, which a server that
+        // follows the other framing would run.
+        if connection.has_ambiguous_framing() {
             return Err(StatusCode::BAD_REQUEST.into());
         }
         if request_head::min_size(&request) > self.published.max_head_bytes() {
-            spawn_local(run_out(request.into_body()));
+            spawn_local(discard_body(request.into_body()));
             return Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE.into());
         }
         let arrived_at = Instant::now();
@@ -123,13 +125,13 @@
         let (parts, body) = request.into_parts();
         let stated_length = body.size_hint().exact();
         if stated_length.is_some_and(|length| length > max_body_bytes) {
-            spawn_local(run_out(body));
+            spawn_local(discard_body(body));
             return Err(StatusCode::PAYLOAD_TOO_LARGE.into());
         }
         let deadline = request_head::deadline(&parts.headers)?;
         let body = self.receive_body(body, max_body_bytes).await?;
         let mut headers = parts.headers;
-        strip(&mut headers);
+        remove_hop_by_hop_headers(&mut headers);
         headers.remove("keep-alive");
         let outgoing = UpstreamRequest {
             method: parts.method,
@@ -149,7 +151,8 @@
         })
     }
 
-    /// Buffers a short body; of a longer one its beginning, to be streamed in one of the upload slots.
+    /// Buffers a short body. Of a longer one, only the beginning is buffered; the rest is streamed, which takes an
+    /// upload slot.
     async fn receive_body(
         &self,
         body: Incoming,
@@ -159,11 +162,11 @@
         let (buffered, rest) = if body.is_end_stream() {
             (Bytes::new(), None)
         } else {
-            take_in(body).await?
+            buffer_body_start(body).await?
         };
         if buffered.len() as u64 > max_body_bytes {
             if let Some(rest) = rest {
-                spawn_local(run_out(rest));
+                spawn_local(discard_body(rest));
             }
             return Err(StatusCode::PAYLOAD_TOO_LARGE.into());
         }
@@ -171,18 +174,18 @@
             return Ok(RequestBody::Buffered(buffered));
         };
         let Ok(slot) = self.upload_slots.clone().try_acquire_owned() else {
-            spawn_local(run_out(rest));
+            spawn_local(discard_body(rest));
             return Err(Rejection::RetryLater(RETRY_AFTER_NO_UPLOAD_SLOT));
         };
         let upload = Upload::new(buffered, stated_length, rest, slot).bounded(max_body_bytes);
         Ok(RequestBody::Uploading(Rc::new(upload)))
     }
 
-    /// Has the controller route a request, and waits for the one reply.
+    /// Has the controller route a request, and waits for the reply.
     async fn forward(&self, request: ReceivedRequest) -> Result<Reply, StatusCode> {
         let id = RequestId(
-            self.next_request
-                .replace(self.next_request.get().wrapping_add(1)),
+            self.next_request_id
+                .replace(self.next_request_id.get().wrapping_add(1)),
         );
         let upload = match &request.outgoing.body {
             RequestBody::Buffered(_) => None,
@@ -197,7 +200,7 @@
                     biased;
                     () = upload.exceeded() => Err(StatusCode::PAYLOAD_TOO_LARGE),
                     reply = reply => Ok(reply),
-                    () = upload_idle(upload) => return Err(StatusCode::BAD_REQUEST),
+                    () = wait_until_upload_idle(upload) => return Err(StatusCode::BAD_REQUEST),
                 }
             }
         };
@@ -208,7 +211,7 @@
         // A response may precede the end of the request's body. The rest is read and discarded: closing a connection with
         // unread bytes would reset it, and the client might lose the response.
         if let Some(rest) = upload.and_then(|upload| upload.take_rest()) {
-            spawn_local(run_out(rest));
+            spawn_local(discard_body(rest));
         }
         reply
     }
@@ -241,13 +244,15 @@
             Reply::Streamed(passing) => {
                 let slot = self.download_slots.clone().acquire_owned();
                 match timeout(DOWNLOAD_SLOT_TIMEOUT, slot).await {
-                    Ok(Ok(slot)) => return passed_on(passing, active, connection.clone(), slot),
-                    // No slot came free. Nothing of the response has been written yet, so it can still fail cleanly.
-                    Ok(Err(_)) | Err(_) => plain(StatusCode::BAD_GATEWAY),
+                    Ok(Ok(slot)) => {
+                        return streamed_response(passing, active, connection.clone(), slot)
+                    }
+                    // No slot became free. Nothing of the response has been written yet, so it can still fail cleanly.
+                    Ok(Err(_)) | Err(_) => empty_response(StatusCode::BAD_GATEWAY),
                 }
             }
         };
-        record_ending(active, response.status());
+        record_outcome(active, response.status());
         response
     }
 }
@@ -269,10 +274,10 @@
     }
 }
 
-/// Returns once the client has sent nothing of its body for too long. A slow client keeps its upload slot, a silent one
-/// loses it.
-async fn upload_idle(upload: &Upload) {
-    while upload.silence() < UPLOAD_IDLE_TIMEOUT {
+/// Returns once the client has sent nothing of its body for [`UPLOAD_IDLE_TIMEOUT`]. A slow client keeps its upload
+/// slot, a silent one loses it.
+async fn wait_until_upload_idle(upload: &Upload) {
+    while upload.idle_time() < UPLOAD_IDLE_TIMEOUT {
         sleep(UPLOAD_IDLE_CHECK_PERIOD).await;
     }
 }
--- a/crates/emberpin-proxy/src/wire.rs
+++ b/crates/emberpin-proxy/src/wire.rs
@@ -1,7 +1,7 @@
-//! The HTTP headers between the gateway and its servers, and how a response decides the outcome of an attempt.
+//! The HTTP headers between the gateway and its servers, and how the outcome of an attempt follows from the response.
 
 use emberpin_balancer::{LoadReport, Outcome};
-use emberpin_limiter::host::{strip, Described, ResponseHead, Wire};
+use emberpin_limiter::host::{remove_hop_by_hop_headers, ResponseHead, ResponseInfo, Wire};
 use emberpin_routing::attempt::is_misdirected;
 use emberpin_routing::AttemptVerdict;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_ENCODING};
@@ -10,15 +10,15 @@
 
 /// Id of a client's request, which servers echo in their response.
 pub const TRY_ID: HeaderName = HeaderName::from_static("try-id");
-/// For how many milliseconds the sender of a request waits for its response.
+/// How long the sender of a request waits for its response, in milliseconds.
 pub const DEADLINE: HeaderName = HeaderName::from_static("deadline");
 /// Id of the only instance that may run the request. A server with another id responds with 421.
 pub const WANT_INSTANCE: HeaderName = HeaderName::from_static("want-instance");
 /// Present in a response if the server has not run the request and never will.
 pub const NOT_RUN: HeaderName = HeaderName::from_static("not-run");
-/// The server's stamp on a response that it has produced itself.
+/// Present in a response that the server has produced itself.
 pub const SEAL: HeaderName = HeaderName::from_static("seal");
-/// States in a response for how long the server keeps an idle connection.
+/// States in a response how long the server keeps an idle connection open.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
 /// Fraction of the idle time stated by a server after which the proxy closes an idle connection itself, so that none is
@@ -29,23 +29,28 @@
 pub struct GatewayWire;
 
 impl Wire for GatewayWire {
-    fn address(&self, headers: &mut HeaderMap, left: Duration, instance: Option<&HeaderValue>) {
-        headers.insert(DEADLINE, HeaderValue::from(left.as_millis() as u64));
+    fn set_request_headers(
+        &self,
+        headers: &mut HeaderMap,
+        remaining: Duration,
+        instance: Option<&HeaderValue>,
+    ) {
+        headers.insert(DEADLINE, HeaderValue::from(remaining.as_millis() as u64));
         match instance {
             Some(instance) => headers.insert(WANT_INSTANCE, instance.clone()),
             None => headers.remove(WANT_INSTANCE),
         };
     }
 
-    fn mark(&self, headers: &HeaderMap) -> Option<HeaderValue> {
+    fn request_id(&self, headers: &HeaderMap) -> Option<HeaderValue> {
         headers.get(TRY_ID).cloned()
     }
 
     /// Rejects late responses to earlier requests on the same connection: those that name another id, and sealed ones that
     /// name none. A request without an id accepts no response that names one.
-    fn belongs(&self, mark: Option<&HeaderValue>, headers: &HeaderMap) -> bool {
-        match (mark, headers.get(TRY_ID)) {
-            (Some(mark), Some(echoed)) => mark == echoed,
+    fn response_belongs(&self, request_id: Option<&HeaderValue>, headers: &HeaderMap) -> bool {
+        match (request_id, headers.get(TRY_ID)) {
+            (Some(request_id), Some(echoed)) => request_id == echoed,
             (Some(_), None) => !headers.contains_key(SEAL),
             (None, echoed) => echoed.is_none(),
         }
@@ -56,7 +61,7 @@
         true
     }
 
-    fn judge(&self, _: Option<&HeaderValue>, response: &Response<()>) -> Outcome {
+    fn outcome(&self, _: Option<&HeaderValue>, response: &Response<()>) -> Outcome {
         let (status, headers) = (response.status(), response.headers());
         // A response without the server's seal, or recoded on the way, is no success: its bytes are not the server's own.
         let sealed = headers.contains_key(SEAL) && !headers.contains_key(CONTENT_ENCODING);
@@ -67,7 +72,7 @@
         }
     }
 
-    fn keeps_idle(&self, headers: &HeaderMap) -> Option<Duration> {
+    fn idle_timeout(&self, headers: &HeaderMap) -> Option<Duration> {
         let stated = headers.get(KEEP_ALIVE)?.to_str().ok()?;
         let seconds = stated
             .split(',')
@@ -75,10 +80,10 @@
         Some(Duration::from_secs(seconds.trim().parse().ok()?).mul_f64(IDLE_TIMEOUT_SHARE))
     }
 
-    fn describe(&self, outcome: Outcome, response: Response<()>) -> Described {
+    fn describe_response(&self, outcome: Outcome, response: Response<()>) -> ResponseInfo {
         let (parts, ()) = response.into_parts();
         let (status, mut headers) = (parts.status, parts.headers);
-        strip(&mut headers);
+        remove_hop_by_hop_headers(&mut headers);
         headers.remove(KEEP_ALIVE);
         // These statuses tell a client that its request has not run. Without the server's `Not-Run` that may be false, so
         // they are not passed on.
@@ -89,12 +94,12 @@
                 | StatusCode::TOO_MANY_REQUESTS
                 | StatusCode::SERVICE_UNAVAILABLE
         );
-        Described {
+        ResponseInfo {
             head: ResponseHead { status, headers },
             load: LoadReport::default(),
             metered: None,
             misdirected: is_misdirected(status.as_u16()),
-            stands: outcome == Outcome::Error && !status.is_success() && !claims_not_run,
+            is_forwardable: outcome == Outcome::Error && !status.is_success() && !claims_not_run,
         }
     }
 }
--- a/crates/emberpin-simulator/src/generator/dense/operators.rs
+++ b/crates/emberpin-simulator/src/generator/dense/operators.rs
@@ -1,12 +1,12 @@
-//! The calls of operators in a dense scenario.
+//! Operator calls in a dense scenario.
 
-use super::super::{ROUTES, SERVICES, ZONES};
+use super::super::{ROUTE_COUNT, SERVICE_COUNT, ZONES};
 use super::{DenseScenario, RouteVersion, SentCall};
 
-/// How long a zone's servers are left without requests after an evacuation: they may begin to warm up meanwhile.
+/// The pause after calls about an evacuation. The zone's servers get no requests and may begin to warm up meanwhile.
 const EVACUATION_PAUSE_MS: u64 = 200;
-/// From how many of the latest versions one is drawn that is used again.
-const REUSED_VERSIONS: usize = 30;
+/// A reused version is chosen from this many of the latest ones.
+const REUSE_WINDOW: usize = 30;
 
 impl DenseScenario {
     fn choose_target(&mut self) -> String {
@@ -17,7 +17,7 @@
         }
     }
 
-    /// The name of an operator for a new call.
+    /// Records a new call, and returns the name of its operator. Each call has an operator of its own.
     pub(super) fn next_operator(&mut self, route: Option<RouteVersion>) -> String {
         self.calls += 1;
         let operator = format!("c{}", self.calls);
@@ -50,7 +50,7 @@
         let (operator, target, service) = (
             self.next_operator(Some(RouteVersion { route, version })),
             self.choose_target(),
-            self.draw_below(SERVICES),
+            self.draw_below(SERVICE_COUNT),
         );
         let timeout = 1_000 + self.draw_below(1_000);
         self.add_step(format!(
@@ -60,13 +60,13 @@
     }
 
     fn change_route(&mut self) {
-        let (route, version) = (self.draw_below(ROUTES), self.next_version());
+        let (route, version) = (self.draw_below(ROUTE_COUNT), self.next_version());
         self.set_route(route, version);
     }
 
-    /// Two to eight operators send different contents under one version of a route, to several machines.
+    /// Two to eight operators send different contents for the same version of a route to several machines.
     fn race(&mut self) {
-        let (route, version) = (self.draw_below(ROUTES), self.next_version());
+        let (route, version) = (self.draw_below(ROUTE_COUNT), self.next_version());
         let now = self.now_ms;
         for racer in 0..self.draw_between(2, 9) {
             let operator = self.next_operator(Some(RouteVersion { route, version }));
@@ -83,14 +83,14 @@
         self.now_ms += 25;
     }
 
-    /// A call is repeated, often one of the latest.
+    /// Repeats an earlier call, in half of the cases one of the latest eight.
     fn repeat_call(&mut self) {
         let count = self.sent_calls.len() as u64;
         if count == 0 {
             return;
         }
-        let among = if self.chance(50) { count.min(8) } else { count };
-        let index = count - 1 - self.draw_below(among);
+        let candidates = if self.chance(50) { count.min(8) } else { count };
+        let index = count - 1 - self.draw_below(candidates);
         let operator = self.sent_calls[index as usize].operator.clone();
         let target = self.choose_target();
         self.add_step(format!("operator {operator} again {target}"));
@@ -100,12 +100,12 @@
         let version = self.next_version();
         let target = self.choose_target();
         if self.chance(25) {
-            let (operator, service) = (self.next_operator(None), self.draw_below(SERVICES));
+            let (operator, service) = (self.next_operator(None), self.draw_below(SERVICE_COUNT));
             return self.add_step(format!(
                 "operator {operator} patch {target}dropsvc=a{service} ver={version}"
             ));
         }
-        let route = self.draw_below(ROUTES);
+        let route = self.draw_below(ROUTE_COUNT);
         let operator = self.next_operator(Some(RouteVersion { route, version }));
         self.add_step(format!(
             "operator {operator} patch {target}drop=r{route} ver={version}"
@@ -117,48 +117,48 @@
         }
     }
 
-    /// Another content under an older version: alone, or in a call with something new.
+    /// Sends another content for an older version, either alone or in a call with a new service.
     fn reuse_version(&mut self) {
-        let numbered: Vec<RouteVersion> = self
+        let versions: Vec<RouteVersion> = self
             .sent_calls
             .iter()
             .rev()
             .filter_map(|call| call.route)
             .collect();
-        if numbered.is_empty() {
+        if versions.is_empty() {
             return;
         }
         let RouteVersion { route, version } =
-            numbered[self.draw_below(numbered.len().min(REUSED_VERSIONS) as u64) as usize];
+            versions[self.draw_below(versions.len().min(REUSE_WINDOW) as u64) as usize];
         let (operator, target) = (self.next_operator(None), self.choose_target());
         let timeout = self.draw_between(3_000, 4_000);
-        let beside = if self.chance(60) {
+        let new_service = if self.chance(60) {
             format!(" svc=n{}@1", self.calls)
         } else {
             String::new()
         };
         self.add_step(format!(
-            "operator {operator} patch {target}route=r{route}:h{route}/p/:a0@{version}{beside} timeout={timeout}ms"
+            "operator {operator} patch {target}route=r{route}:h{route}/p/:a0@{version}{new_service} timeout={timeout}ms"
         ));
     }
 
     fn send_invalid_patch(&mut self) {
         let (version, target) = (self.next_version(), self.choose_target());
         let operator = self.next_operator(None);
-        let what = match self.draw_below(3) {
+        let patch_items = match self.draw_below(3) {
             0 => format!("svc=b{0} route=bad{0}:h9/p/:none ver={version}", self.calls),
-            // Valid alone, but another route has the same host and prefix.
+            // Valid on its own, but another route may have the same host and prefix.
             1 => format!(
                 "route=x{0}:h{1}/p/:a0 ver={version}",
                 self.calls,
-                self.calls % ROUTES
+                self.calls % ROUTE_COUNT
             ),
             _ => format!("svc=a0 route=r9:h9/q/:a0 ver={version} torn"),
         };
-        self.add_step(format!("operator {operator} patch {target}{what}"));
+        self.add_step(format!("operator {operator} patch {target}{patch_items}"));
     }
 
-    /// Begins or ends an evacuation, with several calls to different machines.
+    /// Begins or ends an evacuation, with one to three calls to any machines.
     fn evacuate(&mut self) {
         let zone = ZONES[self.draw_below(ZONES.len() as u64) as usize];
         let begin = if self.chance(50) { "begin" } else { "finish" };
--- a/crates/emberpin-simulator/src/scenario/error.rs
+++ b/crates/emberpin-simulator/src/scenario/error.rs
@@ -1,9 +1,9 @@
-//! Why a text is not a scenario.
+//! Errors of the parser.
 
 use std::borrow::Cow;
 use std::fmt::{self, Display};
 
-/// A line that is not a step.
+/// A line that cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}: {kind}")]
 pub struct ParseError {
@@ -11,19 +11,19 @@
     pub file: String,
     /// The line, counted from 1.
     pub line: usize,
-    /// What is wrong with the line.
+    /// The error in the line.
     pub kind: ParseErrorKind,
 }
 
-/// What is wrong with a line.
+/// The error in a line.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseErrorKind {
-    /// Something else stands where this was expected.
+    /// The line has something else where this was expected.
     #[error("expected {expected}, not {found}")]
     Expected {
-        /// What was expected, with an example.
+        /// A description of the expected token, often with an example.
         expected: Cow<'static, str>,
-        /// What stands there.
+        /// The content of the line at this place.
         found: Found,
     },
     /// Something is missing from the line.
@@ -32,17 +32,17 @@
     /// The step is earlier than the one before it.
     #[error("expected a time of {earliest_ms}ms or later, as steps stand in their order")]
     OutOfOrder {
-        /// The time of the step before, in milliseconds.
+        /// The time of the previous step, in milliseconds.
         earliest_ms: u128,
     },
 }
 
-/// What stands where something else was expected.
+/// The content of a line at the place of an expected token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Found {
-    /// The line ends there.
+    /// The end of the line.
     EndOfLine,
-    /// This token, as the line has it.
+    /// This token.
     Token(String),
     /// A proxy, where only a core machine fits.
     Proxy,
@@ -59,7 +59,7 @@
 }
 
 impl ParseErrorKind {
-    /// The error for a token that is not what was expected.
+    /// The error for a token in place of the expected one.
     pub(super) fn unexpected(
         token: &str,
         expected: impl Into<Cow<'static, str>>,
--- a/crates/emberpin-simulator/src/simulation/faults.rs
+++ b/crates/emberpin-simulator/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of machines, and their end.
+//! Faults of machines, and the end of faults.
 
 use super::connections::BreakNotice;
 use super::Simulation;
@@ -6,11 +6,11 @@
 use crate::scenario::UnsyncedWrites;
 use crate::state::core_node::CoreNode;
 use crate::state::process::Process;
-use crate::state::USUAL_SYNC_TIME;
+use crate::state::DEFAULT_SYNC_TIME;
 use std::time::Duration;
 
 impl Simulation {
-    /// Records that a fault hit these machines now.
+    /// Records that a fault affects these machines now.
     pub(super) fn mark_disturbed(&mut self, machines: impl IntoIterator<Item = Machine>) {
         let now = self.now;
         for machine in machines {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Starts a core machine with settings that say that the system starts for the first time.
+    /// Starts a core machine with the settings of the system's first start.
     pub(super) fn bootstrap(&mut self, machine: Machine) {
         if let Machine::Core(core) = machine {
             self.start_core(core, true);
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Ends the process of a machine.
+    /// Stops the process of a machine, and breaks its connections.
     pub(super) fn stop(&mut self, machine: Machine, notice: BreakNotice) {
         match machine {
             Machine::Core(core) => {
@@ -50,7 +50,7 @@
                     return;
                 };
                 let was_running = node.running.take().is_some();
-                self.counters.fault_effects.ended_processes += u64::from(was_running);
+                self.counters.fault_effects.stopped_processes += u64::from(was_running);
                 node.process.end();
             }
             Machine::Proxy(proxy) => {
@@ -87,7 +87,7 @@
         self.stop(machine, BreakNotice::NotSent);
     }
 
-    /// Removes a core machine for good, and starts a new one in its zone.
+    /// Removes a core machine permanently, and starts a new one in its zone.
     pub(super) fn replace(&mut self, old: CoreId, new: CoreId) {
         let Some(node) = self.cores.get(&old) else {
             return;
@@ -124,12 +124,12 @@
         }
     }
 
-    /// Ends all faults, and starts all machines.
+    /// Ends all faults, and starts all machines that are not running.
     pub(super) fn end_faults(&mut self) {
         self.heal(&[]);
         self.network.end_losses();
         self.network.reset_delivery();
-        self.sync_time = USUAL_SYNC_TIME;
+        self.sync_time = DEFAULT_SYNC_TIME;
         self.response_loss_percent = 0;
         let cores = self.cores.keys().copied().map(Machine::Core);
         let proxies = self.proxies.keys().copied().map(Machine::Proxy);
@@ -138,6 +138,6 @@
             self.thaw(machine);
             self.start(machine);
         }
-        self.has_no_time_limits = false;
+        self.skips_time_limits = false;
     }
 }
--- a/crates/emberpin-simulator/src/simulation/final_checks.rs
+++ b/crates/emberpin-simulator/src/simulation/final_checks.rs
@@ -1,7 +1,7 @@
-//! The end of a run: all faults are over, and what must always hold is checked.
+//! The end of a run: ends all faults, and checks recovery and the final state.
 
 use super::Simulation;
-use crate::history::{self, Call, NumberedItem, Outcome};
+use crate::history::{self, Call, Outcome, VersionedItem};
 use crate::invariants::parse_configuration;
 use crate::machine::ProxyId;
 use crate::scenario::{CallTarget, OperatorRequest};
@@ -13,14 +13,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long after the end of all faults a call must be acknowledged.
+/// The recovery time after the end of all faults, after which the final calls are made.
 const RECOVERY_TIME: Duration = Duration::from_millis(14_000);
-/// How long the final calls may take.
+/// The time limit of each final call.
 const FINAL_CALL_LIMIT: Duration = Duration::from_millis(10_000);
-/// How often the response of a final call is looked for.
+/// How often the simulation checks for the response to a final call.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// The names of the final calls, as operators.
+/// The operator of the final patch.
 const FINAL_PATCH: &str = "after all";
+/// The operator of the final read.
 const FINAL_READ: &str = "at the end";
 const FINAL_PATCH_BODY: &str =
     "{\"upsert\":{\"svcs\":[{\"name\":\"after-all\",\"hcheck\":\"/h\",\"maxconn\":1,\"ver\":1}]}}";
@@ -36,7 +37,7 @@
 }
 
 impl Simulation {
-    /// Ends all faults, and checks what must always hold.
+    /// Ends all faults, and checks the invariants of the final state.
     pub fn finish(&mut self) {
         if self.violation.is_some() {
             return;
@@ -51,13 +52,13 @@
             return;
         }
         let result = self.check_final_state(&body);
-        self.check(result);
+        self.fail_on_violation(result);
         if self.violation.is_none() {
             self.check_linearizability();
         }
     }
 
-    /// Makes a call and waits until it is acknowledged. Returns the body of its response.
+    /// Makes a call, and runs the simulation until its response arrives. Returns the response's body.
     fn make_final_call(&mut self, name: &str, request: Option<OperatorRequest>) -> String {
         self.call_as_operator(name, CallTarget::Any, request, None);
         let Some(call) = self.operators.latest_id(name) else {
@@ -72,7 +73,7 @@
         let call = self.operators.call(call);
         let (status, body) = (call.status, call.body.clone());
         if status != Some(OK) {
-            self.fail(Violation::NotServed {
+            self.fail(Violation::FinalCallFailed {
                 operator: name.into(),
                 status,
             });
@@ -101,18 +102,18 @@
         Ok(())
     }
 
-    /// Each call that is retried got a response.
+    /// Checks that each call that is retried got a response.
     fn check_responses(&self) -> Result<(), Violation> {
         let mut calls = self.operators.calls.iter();
         match calls.find(|call| call.is_retried() && call.status.is_none()) {
-            Some(call) => Err(Violation::Unanswered {
+            Some(call) => Err(Violation::MissingResponse {
                 operator: call.operator.clone(),
             }),
             None => Ok(()),
         }
     }
 
-    /// Nothing of a rejected call is in force, unless another call asked for the same.
+    /// Checks that no item of a rejected call was chosen, unless another call contained the same item.
     fn check_rejected_calls(&self) -> Result<(), Violation> {
         let calls = &self.operators.calls;
         let is_requested_otherwise = |item: &Item| {
@@ -137,15 +138,15 @@
         Ok(())
     }
 
-    /// The last change of each zone's evacuation is in force on all proxies, where no other one was under way at the
-    /// same time.
+    /// Checks that the last change of each zone's evacuation is in force on all proxies, unless an opposite change was
+    /// in progress at the same time.
     fn check_evacuations(&self) -> Result<(), Violation> {
         for (zone, calls) in self.evacuation_calls() {
             let Some(last) = last_call(&calls) else {
                 continue;
             };
             let is_concurrent = |other: &EvacuationCall| {
-                // Two calls of one moment may take effect in either order.
+                // Concurrent calls may take effect in either order.
                 other.change != last.change
                     && other.acknowledged_at.is_none_or(|at| at >= last.sent_at)
             };
@@ -194,7 +195,7 @@
         }
     }
 
-    /// What operators were told fits one order of their calls.
+    /// Checks that the operators' calls are linearizable.
     fn check_linearizability(&mut self) {
         let calls = self.operators.calls.iter();
         let calls: Vec<Call> = calls.filter_map(history_call).collect();
@@ -208,25 +209,26 @@
     }
 }
 
-/// The call that was sent last; of several at one time, the last one.
+/// The call that was sent last; of several at the same time, the last one in the list.
 fn last_call(calls: &[EvacuationCall]) -> Option<&EvacuationCall> {
     calls.iter().max_by_key(|call| call.sent_at)
 }
 
-fn numbered_item(item: &Item) -> NumberedItem {
-    NumberedItem {
+fn versioned_item(item: &Item) -> VersionedItem {
+    VersionedItem {
         name: format!("{:?} {}", item.key.kind, item.key.name),
         version: item.version.0,
         content: item.body.clone(),
     }
 }
 
-/// A call as histories have it. `None` for evacuations, which no read shows, and for calls that could not be parsed.
+/// Converts a call for the history. `None` for evacuations, which no read shows, for reads without a response, and for
+/// calls and responses that cannot be parsed.
 fn history_call(call: &OperatorCall) -> Option<Call> {
     let outcome = match (&call.request, call.status) {
         (None, Some(_)) => {
             let configuration = parse_configuration(&call.body).ok()?;
-            Outcome::Read(configuration.live().map(numbered_item).collect())
+            Outcome::Read(configuration.live().map(versioned_item).collect())
         }
         (Some(OperatorRequest::Patch(_)), Some(OK)) => Outcome::Confirmed,
         (Some(OperatorRequest::Patch(_)), Some(_)) => Outcome::Rejected {
@@ -237,7 +239,7 @@
         (None, None) | (Some(OperatorRequest::Evacuate { .. }), _) => return None,
     };
     let is_read = call.request.is_none();
-    let items: Vec<NumberedItem> = call.items.iter().map(numbered_item).collect();
+    let items: Vec<VersionedItem> = call.items.iter().map(versioned_item).collect();
     if !is_read && items.is_empty() {
         return None;
     }
--- a/crates/emberpin-startup/tests/recorded.rs
+++ b/crates/emberpin-startup/tests/recorded.rs
@@ -1,4 +1,5 @@
-//! The messages about lists between limiters, and a list snapshot, as an earlier build wrote them.
+//! Tests that messages about lists between limiters and a list snapshot, as recorded from an earlier build, are decoded
+//! and encoded to the same bytes.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "../../emberpin-peering/tests/common/recording.rs"]
@@ -6,7 +7,7 @@
 
 use emberpin_startup::list_messages::{Incarnation, ListMessage, ListVersion, WatcherHeartbeat};
 use emberpin_startup::snapshot::{decode, encode, SnapshotHeader};
-use recording::{assert_recorded, file};
+use recording::{assert_recorded, recorded_bytes};
 use std::time::{Duration, UNIX_EPOCH};
 
 const VERSION: ListVersion = ListVersion {
@@ -16,7 +17,7 @@
 const WRITTEN_MS: u64 = 1_700_000_000_123;
 const ENTRIES: &[u8] = br#"[{"uid":"s-1","endpoint":"127.0.0.1:8080","az":"a","model":"std","pod_group":1,"state":"ready","capacity_hint":1.0,"boot_ms":0.0}]"#;
 
-/// Each with the address of its discovery service, as the limiter sends it.
+/// The messages by their label in the fixture, each with the address of its discovery service, as the limiter sends it.
 fn messages() -> Vec<(&'static str, (String, ListMessage))> {
     let of_service = |message| ("10.0.0.1:7000".to_string(), message);
     let heartbeat = WatcherHeartbeat {
@@ -68,7 +69,7 @@
 
 #[test]
 fn a_recorded_snapshot_is_decoded_and_encoded_as_it_was() {
-    let recorded = file("kept-list", || encode(&header(), ENTRIES));
+    let recorded = recorded_bytes("kept-list", || encode(&header(), ENTRIES));
     let soon_after = header().written_at + Duration::from_secs(1);
     let (read, entries) =
         decode(&recorded, "norr/n-3", soon_after, Duration::from_secs(60)).expect("a snapshot");
--- a/crates/emberpin-testbed/src/clients.rs
+++ b/crates/emberpin-testbed/src/clients.rs
@@ -1,11 +1,12 @@
-//! The clients and the front that deals them out: patience, retries, honoured advice, firms that move between
-//! their limiters, keys asked again. One request at a time on a connection; connections are kept.
+//! The clients and the front that distributes their requests over the limiters: time limits, retries, honoured
+//! `Retry-After`, customers that move between their limiters, and repeated keys. A connection carries one request at a
+//! time and is kept for later ones.
 
-use crate::figures::{Repeat, SLACK};
-use crate::http::{Broken, Wire};
-use crate::schedule::{Arrival, TRIES};
+use crate::figures::{Repeat, TIMING_TOLERANCE};
+use crate::http::{ReadError, Wire};
+use crate::schedule::{Arrival, MAX_REQUESTS};
 use crate::servers::World;
-use crate::trace::{Micros, Try, What, SECOND};
+use crate::trace::{EventKind, Micros, RequestId, SECOND};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,44 +15,44 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// Idle connections that the front keeps to one limiter.
-const MOST_IDLE: usize = 128;
-/// A connection to a limiter comes up within this, or the limiter counts as unreachable.
-const CONNECT: Duration = Duration::from_secs(1);
-/// How long beyond patience and slack a client listens, so that a late answer is seen to be late.
-const LISTENS: Duration = Duration::from_millis(20);
+/// Maximum number of idle connections that the front keeps to one limiter.
+const MAX_IDLE_CONNECTIONS: usize = 128;
+/// Time-out of a connection to a limiter, after which the limiter counts as unreachable.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long after its time limit and the timing tolerance a client still waits, so that a late response is observed.
+const LATE_RESPONSE_GRACE: Duration = Duration::from_millis(20);
 
-/// All clients.
+/// All clients of a run.
 pub struct Clients {
     world: Rc<World>,
     fronts: Vec<Front>,
     open: Cell<usize>,
 }
 
-/// What the front holds of one limiter.
+/// The front's state for one limiter.
 struct Front {
     address: SocketAddr,
-    idle: RefCell<Vec<(Wire, Try)>>,
-    /// When it went down, until it is ready again.
+    idle: RefCell<Vec<(Wire, RequestId)>>,
+    /// When the limiter went down; `None` while it is up.
     down: Cell<Option<Instant>>,
 }
 
-/// How a try ended for its client.
-enum Ended {
+/// How a request ended for its client.
+enum RequestEnd {
     Served,
-    Refused {
+    Rejected {
         retry_after: Option<Micros>,
     },
-    /// Failed, lost or given up: promises nothing.
+    /// Failed, lost or timed out: the work may or may not have run.
     Failed,
-    Unreached,
-    /// Sent nowhere: another limiter is to be asked.
+    Unreachable,
+    /// Not processed: another limiter has to be tried.
     Misdirected,
-    Left,
+    Cancelled,
 }
 
 impl Clients {
-    /// Clients of limiters at these addresses.
+    /// Creates the clients of limiters at these addresses.
     pub fn new(world: Rc<World>, limiters: &[SocketAddr]) -> Rc<Clients> {
         let front = |address: &SocketAddr| Front {
             address: *address,
@@ -65,35 +66,35 @@
         })
     }
 
-    /// A limiter is gone, which the front notices some time later.
-    pub fn down(&self, limiter: usize) {
+    /// Marks a limiter as down; the front notices this after the scenario's delay.
+    pub fn mark_down(&self, limiter: usize) {
         self.fronts[limiter].down.set(Some(Instant::now()));
     }
 
-    /// A limiter is ready: the front takes it in.
-    pub fn up(&self, limiter: usize) {
+    /// Marks a limiter as up; the front uses it again at once.
+    pub fn mark_up(&self, limiter: usize) {
         self.fronts[limiter].down.set(None);
     }
 
-    /// Pieces of work that are not over yet.
-    pub fn open(&self) -> usize {
+    /// Number of arrivals that are not finished.
+    pub fn open_work(&self) -> usize {
         self.open.get()
     }
 
-    /// Looks at all idle connections for bytes that nobody asked for, and closes them.
-    pub fn close(&self) {
+    /// Checks all idle connections for unsolicited bytes and closes them.
+    pub fn close_idle_connections(&self) {
         for (limiter, front) in self.fronts.iter().enumerate() {
             for (wire, after) in front.idle.borrow_mut().drain(..) {
-                self.look(limiter, &wire, after);
+                self.check_idle(limiter, &wire, after);
             }
         }
     }
 
-    /// Whether an idle connection can carry another request; notes bytes that should not be there.
-    fn look(&self, limiter: usize, wire: &Wire, after: Try) -> bool {
-        let unread = wire.unread();
+    /// Whether an idle connection can carry another request; records unsolicited bytes.
+    fn check_idle(&self, limiter: usize, wire: &Wire, after: RequestId) -> bool {
+        let unread = wire.unread_state();
         if unread == Some(true) {
-            self.world.recorder.note(What::Unasked {
+            self.world.recorder.record(EventKind::StrayBytes {
                 limiter,
                 after: Some(after),
             });
@@ -101,26 +102,32 @@
         unread.is_none()
     }
 
-    /// Plays one arrival to its end, over all its tries.
-    pub async fn play(self: Rc<Self>, index: usize, until: Instant) {
+    /// Runs one arrival to its end, with all its retries.
+    pub async fn run_arrival(self: Rc<Self>, index: usize, until: Instant) {
         self.open.set(self.open.get() + 1);
         let schedule = &self.world.schedule;
         let arrival = &schedule.arrivals[index];
         let load = &self.world.scenario.load;
-        for number in 0..=load.retries.min(TRIES - 1) {
-            let of = Try(index as u32 * TRIES + number);
-            let limiter = self.route(arrival, number as usize);
-            let wait = match self.attempt(of, arrival, limiter, number).await {
-                Ended::Served | Ended::Left => break,
-                Ended::Refused { retry_after } => retry_after.filter(|_| arrival.honours),
-                Ended::Unreached => None,
-                Ended::Misdirected => Some(0),
-                // Only what is safe to repeat is asked again after a failure.
-                Ended::Failed if arrival.class().repeat == Repeat::Safe => None,
-                Ended::Failed => break,
+        for retry in 0..=load.retries.min(MAX_REQUESTS - 1) {
+            let request_id = RequestId(index as u32 * MAX_REQUESTS + retry);
+            let limiter = self.route(arrival, retry as usize);
+            let wait = match self.send_request(request_id, arrival, limiter, retry).await {
+                RequestEnd::Served | RequestEnd::Cancelled => break,
+                RequestEnd::Rejected { retry_after } => {
+                    retry_after.filter(|_| arrival.honors_retry_after)
+                }
+                RequestEnd::Unreachable => None,
+                RequestEnd::Misdirected => Some(0),
+                // After a failure, only requests that are safe to repeat are retried.
+                RequestEnd::Failed if arrival.class().repeat == Repeat::Safe => None,
+                RequestEnd::Failed => break,
             };
-            let own = load.backoff_ms * arrival.haste * f64::from(1u32 << number.min(10));
-            let wait = wait.map_or(Duration::from_secs_f64(own / 1000.0), Duration::from_micros);
+            let backoff_ms =
+                load.backoff_ms * arrival.backoff_factor * f64::from(1u32 << retry.min(10));
+            let wait = wait.map_or(
+                Duration::from_secs_f64(backoff_ms / 1000.0),
+                Duration::from_micros,
+            );
             if Instant::now() + wait > until {
                 break;
             }
@@ -129,38 +136,48 @@
         self.open.set(self.open.get() - 1);
     }
 
-    /// The limiter of the customer's set that a try goes to: another one each time, and none that the front
-    /// knows to be down, unless all are.
-    fn route(&self, arrival: &Arrival, number: usize) -> usize {
+    /// The limiter of the customer's set for a request: another one for each retry, and none that the front knows to
+    /// be down, unless all are down.
+    fn route(&self, arrival: &Arrival, retry: usize) -> usize {
         let customer = &self.world.schedule.customers[arrival.customer as usize];
         let notice = Duration::from_secs_f64(self.world.scenario.load.front_notice_s);
         let limiters = self.fronts.len();
-        let nth = |n: usize| (customer.first + (arrival.through + n) % customer.spread) % limiters;
-        let known_down = |limiter: usize| {
+        let nth =
+            |n: usize| (customer.first + (arrival.limiter_index + n) % customer.spread) % limiters;
+        let is_known_down = |limiter: usize| {
             self.fronts[limiter]
                 .down
                 .get()
                 .is_some_and(|at| at.elapsed() > notice)
         };
-        let order = (0..customer.spread).map(|n| nth(number + n));
+        let order = (0..customer.spread).map(|n| nth(retry + n));
         order
             .clone()
-            .find(|limiter| !known_down(*limiter))
-            .unwrap_or_else(|| nth(number))
+            .find(|limiter| !is_known_down(*limiter))
+            .unwrap_or_else(|| nth(retry))
     }
 
-    async fn attempt(&self, of: Try, arrival: &Arrival, limiter: usize, number: u32) -> Ended {
+    async fn send_request(
+        &self,
+        request_id: RequestId,
+        arrival: &Arrival,
+        limiter: usize,
+        retry: u32,
+    ) -> RequestEnd {
         let world = &self.world;
-        // One that was sent before on a kept connection may have been read: it is not known never to have run.
+        // A request sent before on a kept connection may have been read, so that it may have run.
         let unreached = |sent_before: bool| {
-            world.recorder.note(What::Unreached { what: of, limiter });
+            world.recorder.record(EventKind::LimiterUnreachable {
+                request: request_id,
+                limiter,
+            });
             if sent_before {
-                Ended::Failed
+                RequestEnd::Failed
             } else {
-                Ended::Unreached
+                RequestEnd::Unreachable
             }
         };
-        let text = self.request(of, arrival);
+        let text = self.request_bytes(request_id, arrival);
         let (mut fresh, mut sent) = (false, false);
         loop {
             let Some((mut wire, reused)) = self.connect(limiter, fresh).await else {
@@ -174,112 +191,114 @@
                 return unreached(sent);
             }
             let customer = &world.schedule.customers[arrival.customer as usize];
-            world.asks(of, limiter);
-            world.recorder.note(What::Asked {
-                what: of,
-                first: Try(of.0 - of.0 % TRIES),
+            world.record_target(request_id, limiter);
+            world.recorder.record(EventKind::RequestSent {
+                request: request_id,
+                first_request: RequestId(request_id.0 - request_id.0 % MAX_REQUESTS),
                 limiter,
                 class: arrival.class,
                 plan: customer.plan,
                 customer: arrival.customer,
                 units: arrival.class().units,
                 key: arrival.key,
-                patience: arrival.patience,
+                time_limit: arrival.time_limit,
                 reused,
             });
-            let asked = Instant::now();
-            let gives_up = asked + Duration::from_micros(arrival.patience + SLACK) + LISTENS;
-            let leaves = arrival
-                .leaves
-                .filter(|_| number == 0)
-                .map(|after| asked + Duration::from_micros(after));
+            let sent_at = Instant::now();
+            let stops_waiting = sent_at
+                + Duration::from_micros(arrival.time_limit + TIMING_TOLERANCE)
+                + LATE_RESPONSE_GRACE;
+            let cancels_after = arrival
+                .cancels_after
+                .filter(|_| retry == 0)
+                .map(|after| sent_at + Duration::from_micros(after));
             let read = tokio::select! {
                 biased;
                 read = wire.read(true) => read,
-                () = sleep_until(leaves.unwrap_or(gives_up)) => {
-                    let left = leaves.is_some();
-                    world.recorder.note(if left { What::Left { what: of } } else { What::GaveUp { what: of } });
-                    return if left { Ended::Left } else { Ended::Failed };
+                () = sleep_until(cancels_after.unwrap_or(stops_waiting)) => {
+                    let cancelled = cancels_after.is_some();
+                    world.recorder.record(if cancelled { EventKind::RequestCancelled { request: request_id } } else { EventKind::RequestTimedOut { request: request_id } });
+                    return if cancelled { RequestEnd::Cancelled } else { RequestEnd::Failed };
                 }
             };
             let (head, body) = match read {
                 Ok(message) => message,
-                Err(how) => {
-                    world.recorder.note(What::Dropped {
-                        what: of,
-                        begun: how != Broken::Ended,
+                Err(error) => {
+                    world.recorder.record(EventKind::ConnectionLost {
+                        request: request_id,
+                        partial_response: error != ReadError::Closed,
                     });
-                    // The limiter may have closed an idle connection as the request came: sent once more.
-                    if how == Broken::Ended && reused && !fresh {
+                    // The limiter may have closed the idle connection as the request arrived: it is sent once more.
+                    if error == ReadError::Closed && reused && !fresh {
                         (fresh, sent) = (true, true);
                         continue;
                     }
-                    return Ended::Failed;
+                    return RequestEnd::Failed;
                 }
             };
-            let replayed = head.header("idempotency-replayed").is_some();
-            let made_for_it = || match world.schedule.made_for(&body) {
-                // A marked replay is the answer to another try under the same key.
-                Some(other) if replayed => {
+            let is_replay = head.header("idempotency-replayed").is_some();
+            let is_for_this_request = || match world.schedule.request_of_body(&body) {
+                // A response marked as a replay was made for another request with the same key.
+                Some(other) if is_replay => {
                     world.schedule.arrival(other).map(|a| a.key) == Some(arrival.key)
                 }
-                other => other == Some(of),
+                other => other == Some(request_id),
             };
             let retry_after = head
                 .header("retry-after")
                 .and_then(|text| text.parse::<f64>().ok());
             let retry_after =
                 retry_after.map(|wait| (wait.clamp(0.0, 60.0) * SECOND as f64) as Micros);
-            let sound = head.status != 200 || made_for_it();
-            world.recorder.note(What::Answered {
-                what: of,
+            let valid = head.status != 200 || is_for_this_request();
+            world.recorder.record(EventKind::Responded {
+                request: request_id,
                 status: head.status,
-                sound,
+                valid,
                 retry_after,
             });
             if !head.closes() {
                 let mut idle = self.fronts[limiter].idle.borrow_mut();
-                if idle.len() < MOST_IDLE {
-                    idle.push((wire, of));
+                if idle.len() < MAX_IDLE_CONNECTIONS {
+                    idle.push((wire, request_id));
                 }
             }
             return match head.status {
-                200 => Ended::Served,
-                429 | 503 => Ended::Refused { retry_after },
-                // Misdirected (RFC 9110, section 15.5.20): another limiter of the set may take it, at once.
-                421 => Ended::Misdirected,
-                _ => Ended::Failed,
+                200 => RequestEnd::Served,
+                429 | 503 => RequestEnd::Rejected { retry_after },
+                // Misdirected (RFC 9110, section 15.5.20): another limiter of the set is tried at once.
+                421 => RequestEnd::Misdirected,
+                _ => RequestEnd::Failed,
             };
         }
     }
 
-    /// A connection that was kept, or a new one; says which.
+    /// Returns a connection and whether it was kept from an earlier request; `fresh` asks for a new one.
     async fn connect(&self, limiter: usize, fresh: bool) -> Option<(Wire, bool)> {
         let front = &self.fronts[limiter];
         while let Some((wire, after)) = front.idle.borrow_mut().pop().filter(|_| !fresh) {
-            if self.look(limiter, &wire, after) {
+            if self.check_idle(limiter, &wire, after) {
                 return Some((wire, true));
             }
         }
-        let stream = timeout(CONNECT, TcpStream::connect(front.address))
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(front.address))
             .await
             .ok()?
             .ok()?;
         Some((Wire::new(stream), false))
     }
 
-    fn request(&self, of: Try, arrival: &Arrival) -> Vec<u8> {
+    fn request_bytes(&self, request_id: RequestId, arrival: &Arrival) -> Vec<u8> {
         let schedule = &self.world.schedule;
         let customer = &schedule.customers[arrival.customer as usize];
         let class = arrival.class();
         let headers = format!(
             "Host: service.internal\r\nReq-Id: {}\r\nReq-Kind: {}\r\nX-Tier: {}\r\nCookie: account={:016x}\r\n\
              Req-Deadline: {:.3}\r\nX-Call-Terms: units={},spread={},first={}\r\n",
-            schedule.id(of),
+            schedule.id(request_id),
             class.name,
             crate::figures::PLANS[customer.plan].name,
             customer.account,
-            arrival.patience as f64 / SECOND as f64,
+            arrival.time_limit as f64 / SECOND as f64,
             class.units,
             customer.spread,
             customer.first,
@@ -293,7 +312,7 @@
             "POST /api HTTP/1.1\r\n{headers}Idempotency-Key: {key}\r\nContent-Length: {body}\r\n\r\n"
         )
         .into_bytes();
-        // A body of the key's own, the same with each repeat.
+        // The body depends on the key alone, so that it is the same for each repeat.
         text.extend(key.bytes().cycle().take(body));
         text
     }
--- a/crates/emberpin-testbed/src/page.rs
+++ b/crates/emberpin-testbed/src/html_report.rs
@@ -1,8 +1,8 @@
-//! The report as one self-contained page: the tables, and plots over time with each fault marked.
+//! The report as one self-contained HTML page: tables, and plots over time with each fault marked.
 
-use crate::report::{bins, stories, verdict, Row, Summary, BIN};
+use crate::report::{bins, describe_finding, violation_histories, Row, Summary, TIME_BIN};
 use crate::site::Outcome;
-use crate::trace::{seconds, What};
+use crate::trace::{seconds, EventKind};
 use plotters::prelude::*;
 use std::fmt::Write;
 
@@ -16,10 +16,10 @@
     RGBColor(90, 90, 90),
 ];
 
-/// A named line of a plot: points in seconds and whatever the plot shows.
+/// A named line of a plot: points of time in seconds and value.
 type Line = (String, Vec<(f64, f64)>);
 
-/// The page.
+/// Renders the page.
 ///
 /// # Errors
 ///
@@ -29,14 +29,14 @@
     let faults: Vec<(f64, String)> = outcome
         .events
         .iter()
-        .filter_map(|event| match &event.what {
-            What::Fault { name } => Some((seconds(event.at), name.clone())),
+        .filter_map(|event| match &event.kind {
+            EventKind::Fault { name } => Some((seconds(event.at), name.clone())),
             _ => None,
         })
         .collect();
     let bins = bins(&outcome.events, scenario.length);
-    let line = |name: &str, value: &dyn Fn(&crate::report::Bin) -> f64| -> Line {
-        let point = |(index, bin)| (seconds(index as u64 * BIN), value(bin));
+    let line = |name: &str, value: &dyn Fn(&crate::report::TimeBin) -> f64| -> Line {
+        let point = |(index, bin)| (seconds(index as u64 * TIME_BIN), value(bin));
         (
             name.to_string(),
             bins.iter().enumerate().map(point).collect(),
@@ -105,12 +105,12 @@
         }
         _ = write!(write, "</ol>");
     }
-    let told = stories(&outcome.judgement);
-    if !told.is_empty() {
+    let histories = violation_histories(&outcome.verdict);
+    if !histories.is_empty() {
         _ = write!(
             write,
             "<h2>The first break of each rule</h2><pre>{}</pre>",
-            escape(told.trim())
+            escape(histories.trim())
         );
     }
     page += "</html>\n";
@@ -120,7 +120,7 @@
 fn tables(write: &mut String, summary: &Summary) {
     _ = write!(write, "<table><tr><th>rule<th>verdict</tr>");
     for finding in &summary.verdict {
-        let kind = match (finding.broken, finding.late) {
+        let kind = match (finding.violations, finding.uncertain) {
             (0, 0) => "held",
             (0, _) => "late",
             _ => "broken",
@@ -129,7 +129,7 @@
             write,
             "<tr><td>{}<td class={kind}>{}</tr>",
             finding.rule,
-            verdict(finding)
+            describe_finding(finding)
         );
     }
     _ = write!(
@@ -169,7 +169,7 @@
     _ = write!(write, "</table>");
 }
 
-/// Lines over time, the faults as upright ones.
+/// Draws lines over time as SVG, with the faults as vertical lines.
 fn plot(
     lines: &[Line],
     faults: &[(f64, String)],
--- a/crates/emberpin-testbed/src/main.rs
+++ b/crates/emberpin-testbed/src/main.rs
@@ -1,12 +1,12 @@
-//! The stand-in site's command: plays a scenario with limiters, servers, discovery, peers and clients on
-//! loopback, shows how it goes, and ends with a table and the referee's verdict.
+//! The testbed's command: runs a scenario with limiters between stand-in servers, discovery, peers and clients on
+//! loopback, shows the progress, and prints tables and the verdict of the invariant checker.
 #![forbid(unsafe_code)]
 
 use clap::Parser;
-use emberpin_testbed::needs::Needs;
-use emberpin_testbed::page;
+use emberpin_testbed::html_report;
 use emberpin_testbed::process::Program;
-use emberpin_testbed::report::{stories, Summary};
+use emberpin_testbed::report::{violation_histories, Summary};
+use emberpin_testbed::resources::ResourceNeeds;
 use emberpin_testbed::scenario::Scenario;
 use emberpin_testbed::site::{self, Outcome, Progress};
 use emberpin_testbed::trace::{seconds, Micros, SECOND};
@@ -15,49 +15,49 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The word by which this program runs itself again as a limiter.
-const AS_LIMITER: &str = "limiter";
-/// Between two lines of progress where there is no terminal.
-const EVERY: Micros = 2 * SECOND;
-/// A rule broke.
-const BROKEN: u8 = 1;
-/// A command line or a scenario that cannot be used, or a site that does not stand up.
-const UNUSABLE: u8 = 2;
-/// Nothing is known to be broken, but the stand-ins ran too late to be sure.
-const LATE: u8 = 3;
+/// The argument with which this program runs itself as a limiter.
+const LIMITER_COMMAND: &str = "limiter";
+/// Interval between two lines of progress if standard error is not a terminal.
+const PROGRESS_INTERVAL: Micros = 2 * SECOND;
+/// Exit status if a rule was violated.
+const EXIT_VIOLATION: u8 = 1;
+/// Exit status for an invalid command line or scenario, or a site that does not start.
+const EXIT_UNUSABLE: u8 = 2;
+/// Exit status if the only violations were found while the stand-ins ran late.
+const EXIT_UNCERTAIN: u8 = 3;
 
-/// Play a scenario with limiters between stand-ins on loopback, and judge it.
+/// Run a scenario with limiters between stand-ins on loopback, and check it against the five rules.
 ///
-/// Exit status: 0 every rule held, 1 a rule broke, 2 it could not be played, 3 the stand-ins ran too late to
-/// be sure.
+/// Exit status: 0 every rule held, 1 a rule was violated, 2 the scenario could not be run, 3 the stand-ins ran too
+/// late to be sure.
 #[derive(Parser)]
 #[command(name = "emberpin-testbed", version, max_term_width = 100)]
-struct Line {
-    /// A scenario file; without it nothing goes wrong
+struct Arguments {
+    /// Scenario file; without it, a built-in scenario without faults
     #[arg(long, value_name = "FILE")]
     scenario: Option<PathBuf>,
-    /// Play so many seconds, whatever the scenario says
+    /// Duration of the load in seconds, instead of the scenario's
     #[arg(long, value_name = "N")]
     seconds: Option<f64>,
-    /// Draw everything random from this, whatever the scenario says
+    /// Seed of all random choices, instead of the scenario's
     #[arg(long, value_name = "N")]
     seed: Option<u64>,
-    /// Write one page with tables and plots over time
+    /// Write an HTML page with tables and plots over time
     #[arg(long, value_name = "FILE.html")]
     report: Option<PathBuf>,
     /// Write the figures and the verdict as JSON
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Another build of the limiter, in place of this program's own
+    /// Another build of the limiter, instead of this program's own
     #[arg(long, value_name = "PATH")]
     limiter: Option<PathBuf>,
-    /// An operator file for the limiters; may be given several times
+    /// Operator file for the limiters; may be given several times
     #[arg(long = "with", value_name = "FILE")]
     with: Vec<PathBuf>,
-    /// Give every limiter a log on disk, begun before its first start, that goes with the run
+    /// Give every limiter a log on disk, initialised before its first start and deleted after the run
     #[arg(long)]
     logs: bool,
-    /// Let the limiters talk over links, which a split of the peers cuts too
+    /// Connect the limiters by links, which a split of the peers also cuts
     #[arg(long)]
     links: bool,
 }
@@ -65,64 +65,70 @@
 fn main() -> ExitCode {
     if std::env::args_os()
         .nth(1)
-        .is_some_and(|word| word == AS_LIMITER)
+        .is_some_and(|word| word == LIMITER_COMMAND)
     {
         return emberpin_limiter::operate::command::main(std::env::args_os().skip(1));
     }
-    match play(&Line::parse()) {
+    match play(&Arguments::parse()) {
         Ok(status) => status,
         Err(problem) => {
             eprintln!("emberpin-testbed: {}", problem.replace('\n', " "));
-            ExitCode::from(UNUSABLE)
+            ExitCode::from(EXIT_UNUSABLE)
         }
     }
 }
 
-fn play(line: &Line) -> Result<ExitCode, String> {
-    let scenario = line.scenario()?;
-    let mut program = match &line.limiter {
+fn play(arguments: &Arguments) -> Result<ExitCode, String> {
+    let scenario = arguments.scenario()?;
+    let mut program = match &arguments.limiter {
         Some(path) => Program {
             path: path.clone(),
             arguments: Vec::new(),
-            logs: line.logs,
-            links: line.links,
+            logs: arguments.logs,
+            links: arguments.links,
         },
         None => {
             let path =
                 std::env::current_exe().map_err(|e| format!("cannot find this program: {e}"))?;
             Program {
                 path,
-                arguments: vec![AS_LIMITER.into()],
-                logs: line.logs,
-                links: line.links,
+                arguments: vec![LIMITER_COMMAND.into()],
+                logs: arguments.logs,
+                links: arguments.links,
             }
         }
     };
-    for file in &line.with {
+    for file in &arguments.with {
         program.arguments.extend(["--with".into(), file.into()]);
     }
     println!("{}: {}", scenario.name, scenario.about);
-    println!("it {}", Needs::of(&scenario.site, program.links));
-    let shown = Shown::new(scenario.length);
-    let outcome = site::run(&scenario, &program, move |progress| shown.show(progress))
+    println!(
+        "it {}",
+        ResourceNeeds::for_site(&scenario.site, program.links)
+    );
+    let display = ProgressDisplay::new(scenario.length);
+    let outcome = site::run(&scenario, &program, move |progress| display.show(progress))
         .map_err(|error| error.to_string())?;
-    let summary = Summary::of(&outcome);
+    let summary = Summary::from_outcome(&outcome);
     println!("{}", summary.to_text());
-    line.write(&outcome, &summary)?;
-    let judgement = &outcome.judgement;
-    if judgement.is_clean() {
+    arguments.write_reports(&outcome, &summary)?;
+    let verdict = &outcome.verdict;
+    if verdict.has_no_findings() {
         return Ok(ExitCode::SUCCESS);
     }
-    println!("{}", stories(judgement));
-    println!("To bring it back: {}", line.again(&scenario));
-    Ok(ExitCode::from(if judgement.is_broken() {
-        BROKEN
+    println!("{}", violation_histories(verdict));
+    println!(
+        "To bring it back: {}",
+        arguments.reproduce_command(&scenario)
+    );
+    Ok(ExitCode::from(if verdict.has_violations() {
+        EXIT_VIOLATION
     } else {
-        LATE
+        EXIT_UNCERTAIN
     }))
 }
 
-impl Line {
+impl Arguments {
     fn scenario(&self) -> Result<Scenario, String> {
         let mut scenario = match &self.scenario {
             Some(path) => Scenario::read(path).map_err(|error| error.to_string())?,
@@ -137,7 +143,7 @@
         Ok(scenario)
     }
 
-    fn write(&self, outcome: &Outcome, summary: &Summary) -> Result<(), String> {
+    fn write_reports(&self, outcome: &Outcome, summary: &Summary) -> Result<(), String> {
         let save = |path: &PathBuf, text: String| {
             std::fs::write(path, text).map_err(|e| format!("cannot write {}: {e}", path.display()))
         };
@@ -147,13 +153,13 @@
             save(path, text + "\n")?;
         }
         if let Some(path) = &self.report {
-            save(path, page::page(outcome, summary)?)?;
+            save(path, html_report::page(outcome, summary)?)?;
         }
         Ok(())
     }
 
-    /// The command that plays the same again.
-    fn again(&self, scenario: &Scenario) -> String {
+    /// The command that repeats this run.
+    fn reproduce_command(&self, scenario: &Scenario) -> String {
         let file = self.scenario.as_ref().map_or(String::new(), |path| {
             format!("--scenario {} ", path.display())
         });
@@ -169,36 +175,43 @@
     }
 }
 
-/// How far a run is: a bar on a terminal, plain lines elsewhere.
-struct Shown {
+/// Shows the progress of a run: a bar on a terminal, plain lines elsewhere.
+struct ProgressDisplay {
     bar: Option<ProgressBar>,
     last: std::cell::Cell<Micros>,
     length: Micros,
 }
 
-impl Shown {
-    fn new(length: Micros) -> Shown {
+impl ProgressDisplay {
+    fn new(length: Micros) -> ProgressDisplay {
         let bar = std::io::stderr().is_terminal().then(|| {
             let style = ProgressStyle::with_template("{bar:40} {percent:>3} %  {msg}");
             let bar = ProgressBar::new(length);
             bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
             bar
         });
-        Shown {
+        ProgressDisplay {
             bar,
             last: std::cell::Cell::new(0),
             length,
         }
     }
 
-    fn show(&self, Progress { at, begun, open }: Progress) {
-        let text = format!("{begun} asked, {open} open");
+    fn show(
+        &self,
+        Progress {
+            at,
+            started_work,
+            open_work,
+        }: Progress,
+    ) {
+        let text = format!("{started_work} asked, {open_work} open");
         match &self.bar {
             Some(bar) => {
                 bar.set_position(at.min(self.length));
                 bar.set_message(text);
             }
-            None if at >= self.last.get() + EVERY => {
+            None if at >= self.last.get() + PROGRESS_INTERVAL => {
                 self.last.set(at);
                 eprintln!("{:.0} of {} s: {text}", seconds(at), seconds(self.length));
             }
@@ -207,8 +220,8 @@
     }
 }
 
-/// The bar goes; what comes after it is the result.
-impl Drop for Shown {
+/// Clears the bar, so that the result follows on a clean line.
+impl Drop for ProgressDisplay {
     fn drop(&mut self) {
         if let Some(bar) = &self.bar {
             bar.finish_and_clear();
--- a/crates/emberpin-testbed/src/links.rs
+++ b/crates/emberpin-testbed/src/peer_links.rs
@@ -1,7 +1,7 @@
-//! The links between limiters: each reaches each other through a relay of its own, so that a split holds back what is on
-//! the way in both directions, as a cut cable does.
+//! The stream links between limiters. Each limiter reaches each other one through a relay of its own, so that a network
+//! split also holds back the bytes under way in both directions, as a cut cable does.
 
-use crate::peers::Split;
+use crate::peers::NetworkSplit;
 use crate::servers::World;
 use emberpin_startup::topology::neighbours;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,26 +15,26 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Up to so many limiters there are links between all pairs, as keys need them; beyond, between neighbours in the telling
-/// of lists alone.
-pub const MESH: usize = 40;
+/// Maximum number of limiters with links between all pairs, which idempotency keys need. Larger groups only have links
+/// between neighbours in the exchange of endpoint lists.
+pub const MAX_FULL_MESH: usize = 40;
 
-/// All links of a site.
-pub struct LinkNet {
-    /// Where each limiter listens.
+/// All links between the limiters of a site.
+pub struct PeerLinks {
+    /// The address at which each limiter listens.
     listen: Vec<SocketAddr>,
-    /// Where each reaches those that it has links to.
+    /// For each limiter, the relay addresses of the limiters that it has links to.
     relays: Vec<BTreeMap<usize, SocketAddr>>,
-    split: watch::Sender<Option<Split>>,
+    split: watch::Sender<Option<NetworkSplit>>,
 }
 
-impl LinkNet {
-    /// Relays for the links; none of them is cut.
+impl PeerLinks {
+    /// Starts the relays of all links; none is cut.
     ///
     /// # Errors
     ///
     /// The operating system's.
-    pub async fn start(world: &World, limiters: usize) -> std::io::Result<LinkNet> {
+    pub async fn start(world: &World, limiters: usize) -> std::io::Result<PeerLinks> {
         let listen: Vec<SocketAddr> = (0..limiters)
             .map(|_| world.address())
             .collect::<Result<_, _>>()?;
@@ -42,36 +42,42 @@
         let mut relays = Vec::new();
         let all: BTreeSet<u32> = (0..limiters as u32).collect();
         for from in 0..limiters {
-            let near = neighbours(from as u32, &all);
-            let mut to_each = BTreeMap::new();
+            let neighbour_ids = neighbours(from as u32, &all);
+            let mut addresses = BTreeMap::new();
             for (to, address) in listen.iter().enumerate() {
-                if from == to || (limiters > MESH && !near.contains(&(to as u32))) {
+                if from == to || (limiters > MAX_FULL_MESH && !neighbour_ids.contains(&(to as u32)))
+                {
                     continue;
                 }
                 let listener = TcpListener::bind((address.ip(), 0)).await?;
-                to_each.insert(to, listener.local_addr()?);
+                addresses.insert(to, listener.local_addr()?);
                 spawn_local(relay(listener, *address, (from, to), split.subscribe()));
             }
-            relays.push(to_each);
+            relays.push(addresses);
         }
-        Ok(LinkNet {
+        Ok(PeerLinks {
             listen,
             relays,
             split,
         })
     }
 
-    /// Splits the limiters, or heals the split.
-    pub fn split(&self, split: Option<Split>) {
+    /// Splits the links, or heals the split.
+    pub fn set_split(&self, split: Option<NetworkSplit>) {
         self.split.send_replace(split);
     }
 
-    /// Writes the operator file of one limiter, and the secret that all share.
+    /// Writes the operator file of one limiter and the key that all limiters share; returns the file's path.
     ///
     /// # Errors
     ///
     /// The operating system's.
-    pub fn write(&self, folder: &Path, limiter: usize, secret: u64) -> std::io::Result<PathBuf> {
+    pub fn write_operator_file(
+        &self,
+        folder: &Path,
+        limiter: usize,
+        secret: u64,
+    ) -> std::io::Result<PathBuf> {
         let keys = folder.join("keys");
         std::fs::create_dir_all(&keys)?;
         let mut options = std::fs::OpenOptions::new();
@@ -86,7 +92,7 @@
             "[link]\ncluster = \"site\"\nplain = true\nkeys = \"{}\"\n",
             keys.display()
         );
-        if self.listen.len() > MESH {
+        if self.listen.len() > MAX_FULL_MESH {
             table += "beat_ms = 1000\nsuspect_ms = 2500\ndead_ms = 4000\n";
         }
         for (number, own) in self.listen.iter().enumerate() {
@@ -105,44 +111,45 @@
     listener: TcpListener,
     to: SocketAddr,
     pair: (usize, usize),
-    split: watch::Receiver<Option<Split>>,
+    split: watch::Receiver<Option<NetworkSplit>>,
 ) {
-    while let Ok((near, _)) = listener.accept().await {
+    while let Ok((neighbour_ids, _)) = listener.accept().await {
         let split = split.clone();
         spawn_local(async move {
             let Ok(far) = TcpStream::connect(to).await else {
                 return;
             };
-            _ = (near.set_nodelay(true), far.set_nodelay(true));
-            let ((near_out, near_in), (far_out, far_in)) = (near.into_split(), far.into_split());
-            // Whichever way ends, both do: a process that is gone is gone for its reader and its writer.
+            _ = (neighbour_ids.set_nodelay(true), far.set_nodelay(true));
+            let ((near_out, near_in), (far_out, far_in)) =
+                (neighbour_ids.into_split(), far.into_split());
+            // If one direction ends, both do: a process that has exited neither reads nor writes.
             tokio::select! {
-                () = carry(near_out, far_in, pair, split.clone()) => {}
-                () = carry(far_out, near_in, (pair.1, pair.0), split) => {}
+                () = forward(near_out, far_in, pair, split.clone()) => {}
+                () = forward(far_out, near_in, (pair.1, pair.0), split) => {}
             }
         });
     }
 }
 
-async fn carry(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     (sender, receiver): (usize, usize),
-    mut split: watch::Receiver<Option<Split>>,
+    mut split: watch::Receiver<Option<NetworkSplit>>,
 ) {
-    let apart = |split: &Option<Split>| {
+    let is_blocked = |split: &Option<NetworkSplit>| {
         split
             .as_ref()
-            .is_some_and(|split| split.holds(sender, receiver))
+            .is_some_and(|split| split.blocks(sender, receiver))
     };
     let mut bytes = vec![0; 16 * 1024];
     while let Ok(n @ 1..) = from.read(&mut bytes).await {
-        if split.wait_for(|split| !apart(split)).await.is_err()
+        if split.wait_for(|split| !is_blocked(split)).await.is_err()
             || to.write_all(&bytes[..n]).await.is_err()
         {
             return;
         }
     }
-    // An end does not get through a cut either.
-    _ = split.wait_for(|split| !apart(split)).await;
+    // The end of the stream does not pass a cut either.
+    _ = split.wait_for(|split| !is_blocked(split)).await;
 }
--- a/crates/emberpin-testbed/src/report.rs
+++ b/crates/emberpin-testbed/src/report.rs
@@ -1,135 +1,136 @@
-//! What a run comes to: figures by class and plan, what each limiter used, and the verdict by rule; as a table,
-//! as JSON and as one page.
+//! The report of a run: figures by class and plan, the resource usage of each limiter, and the verdict by rule; as
+//! tables, as JSON and as the data of an HTML page.
 
 use crate::figures::{CLASSES, PLANS};
+use crate::invariants::{Finding, Verdict};
 use crate::process::Usage;
-use crate::referee::{Finding, Judgement};
-use crate::schedule::{Schedule, TRIES};
+use crate::schedule::{Schedule, MAX_REQUESTS};
 use crate::site::Outcome;
-use crate::trace::{seconds, Event, Micros, Try, What, SECOND};
+use crate::trace::{seconds, Event, EventKind, Micros, RequestId, SECOND};
 use comfy_table::presets::UTF8_HORIZONTAL_ONLY;
 use comfy_table::{CellAlignment, Table, TableComponent};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// How pieces of work came out, counted by their first tries.
+/// Outcomes of pieces of work, counted from their first requests.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Row {
-    /// A class or a plan.
+    /// Name of the class or plan.
     pub name: String,
-    /// Pieces of work asked for, less those whose client left before its time.
+    /// Pieces of work requested, without those whose client cancelled.
     pub asked: u64,
-    /// Served within the class's aim, counted from the first try.
+    /// Served within the class's latency target, counted from the first request.
     pub in_time: u64,
-    /// Requests that were served after their latency target.
+    /// Served after the latency target.
     pub late: u64,
-    /// The last try was refused.
+    /// The last request was rejected (429 or 503).
     pub refused: u64,
-    /// The last try failed, was given up or reached nobody.
+    /// The last request failed, timed out or reached no limiter.
     pub failed: u64,
-    /// Median time to a served answer from the first try, in milliseconds.
+    /// Median time from the first request to a served response, in milliseconds.
     pub p50_ms: f64,
-    /// The 99th percentile of the same.
+    /// The 99th percentile of that time, in milliseconds.
     pub p99_ms: f64,
-    /// Of the units sent on, the share beyond the customers' quotas; of a plan.
+    /// Share of the units sent to servers that exceeded the customers' quotas; only for plans.
     pub beyond_quota: Option<f64>,
 }
 
-/// What one limiter did and used.
+/// Load and resource usage of one limiter.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LimiterRow {
     /// The limiter's number, from 0.
     pub limiter: usize,
-    /// Tries that came to it.
+    /// Requests received.
     pub asked: u64,
     /// Processor time, user and system, in milliseconds.
     pub cpu_ms: f64,
-    /// The same for each try, in microseconds.
+    /// Processor time per request, in microseconds.
     pub cpu_us_per_request: f64,
     /// Largest resident set, in KiB.
     pub peak_kib: u64,
-    /// Times that it was started.
+    /// Number of starts.
     pub starts: u32,
 }
 
-/// The whole of it.
+/// The summary of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Summary {
     /// The scenario's name.
     pub scenario: String,
-    /// The seed of all that was drawn in the run.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// Seconds of load.
+    /// Duration of the load in seconds.
     pub seconds: f64,
-    /// The requests of all classes and plans.
+    /// All pieces of work.
     pub total: Row,
-    /// The requests of each class.
+    /// The pieces of work of each class.
     pub classes: Vec<Row>,
-    /// The requests of each plan.
+    /// The pieces of work of each plan.
     pub plans: Vec<Row>,
-    /// What each limiter did and used.
+    /// Load and resource usage of each limiter.
     pub limiters: Vec<LimiterRow>,
-    /// Attempts that came whole to servers.
+    /// Attempts received completely by servers.
     pub attempts: u64,
-    /// Keys whose effect was had more than once, over all tries of clients.
-    pub second_effects: u64,
-    /// The most that the stand-ins themselves were late, in milliseconds.
+    /// Effects that ran again for a key that had run before, over all requests of clients.
+    #[serde(rename = "second_effects")]
+    pub repeated_effects: u64,
+    /// Maximum lateness of the stand-ins themselves, in milliseconds.
     pub stand_ins_late_ms: f64,
-    /// The trace was cut short.
+    /// Whether the trace was cut short.
     pub cut_short: bool,
-    /// How often each rule was broken.
+    /// The finding of each rule.
     pub verdict: Vec<Finding>,
 }
 
-/// How one piece of work came out.
+/// The outcome of one piece of work.
 #[derive(Clone, Copy, Default)]
-struct Piece {
-    left: bool,
+struct WorkOutcome {
+    cancelled: bool,
     asked: Option<Micros>,
     served: Option<Micros>,
     refused: bool,
 }
 
-/// The pieces of work by arrival.
-fn pieces(events: &[Event], arrivals: usize) -> Vec<Piece> {
-    let mut pieces = vec![Piece::default(); arrivals];
+/// The outcomes of all pieces of work, by arrival.
+fn work_outcomes(events: &[Event], arrivals: usize) -> Vec<WorkOutcome> {
+    let mut work_outcomes = vec![WorkOutcome::default(); arrivals];
     for event in events {
-        let (What::Asked { what, .. }
-        | What::Unreached { what, .. }
-        | What::Answered { what, .. }
-        | What::Dropped { what, .. }
-        | What::GaveUp { what }
-        | What::Left { what }) = &event.what
+        let (EventKind::RequestSent { request, .. }
+        | EventKind::LimiterUnreachable { request, .. }
+        | EventKind::Responded { request, .. }
+        | EventKind::ConnectionLost { request, .. }
+        | EventKind::RequestTimedOut { request }
+        | EventKind::RequestCancelled { request }) = &event.kind
         else {
             continue;
         };
-        let Some(piece) = pieces.get_mut((what.0 / TRIES) as usize) else {
+        let Some(job) = work_outcomes.get_mut((request.0 / MAX_REQUESTS) as usize) else {
             continue;
         };
-        match &event.what {
-            What::Asked { .. } | What::Unreached { .. } => {
-                piece.asked = piece.asked.or(Some(event.at));
-                piece.refused = false;
+        match &event.kind {
+            EventKind::RequestSent { .. } | EventKind::LimiterUnreachable { .. } => {
+                job.asked = job.asked.or(Some(event.at));
+                job.refused = false;
             }
-            What::Answered { status: 200, .. } => piece.served = piece.served.or(Some(event.at)),
-            What::Answered { status, .. } => piece.refused = matches!(status, 429 | 503),
-            What::Left { .. } => piece.left = true,
-            _ => piece.refused = false,
+            EventKind::Responded { status: 200, .. } => job.served = job.served.or(Some(event.at)),
+            EventKind::Responded { status, .. } => job.refused = matches!(status, 429 | 503),
+            EventKind::RequestCancelled { .. } => job.cancelled = true,
+            _ => job.refused = false,
         }
     }
-    pieces
+    work_outcomes
 }
 
-/// Collects a row and its times.
+/// Builds a row and collects its response times.
 #[derive(Default)]
-struct Counting {
+struct RowBuilder {
     row: Row,
     times: Vec<f64>,
 }
 
-impl Counting {
-    fn named(name: &str) -> Counting {
-        Counting {
+impl RowBuilder {
+    fn named(name: &str) -> RowBuilder {
+        RowBuilder {
             row: Row {
                 name: name.into(),
                 ..Row::default()
@@ -138,28 +139,28 @@
         }
     }
 
-    fn count(&mut self, piece: &Piece, aim: Micros) {
-        let Some(asked) = piece.asked else { return };
-        if piece.left {
+    fn count(&mut self, job: &WorkOutcome, latency_target: Micros) {
+        let Some(asked) = job.asked else { return };
+        if job.cancelled {
             return;
         }
         self.row.asked += 1;
-        match piece.served {
+        match job.served {
             Some(at) => {
                 let time = at.saturating_sub(asked);
                 self.times.push(time as f64 / 1000.0);
-                *(if time <= aim {
+                *(if time <= latency_target {
                     &mut self.row.in_time
                 } else {
                     &mut self.row.late
                 }) += 1;
             }
-            None if piece.refused => self.row.refused += 1,
+            None if job.refused => self.row.refused += 1,
             None => self.row.failed += 1,
         }
     }
 
-    fn done(mut self) -> Row {
+    fn finish(mut self) -> Row {
         self.times.sort_by(f64::total_cmp);
         (self.row.p50_ms, self.row.p99_ms) =
             (percentile(&self.times, 0.5), percentile(&self.times, 0.99));
@@ -167,34 +168,38 @@
     }
 }
 
-/// The value below which this part of the sorted values lies; 0 without any.
+/// The percentile of sorted values by nearest rank, with `part` from 0 to 1; 0 if there are no values.
 pub fn percentile(sorted: &[f64], part: f64) -> f64 {
     let rank = (part * sorted.len() as f64).ceil() as usize;
     sorted.get(rank.max(1) - 1).copied().unwrap_or(0.0)
 }
 
-/// By plan: the units sent on, and those of them beyond the customers' quotas.
+/// For each plan, the units sent to servers and those of them beyond the customers' quotas.
 fn beyond_quota(events: &[Event], schedule: &Schedule) -> Vec<(f64, f64)> {
     let mut sums = vec![(0.0, 0.0); PLANS.len()];
-    let mut stores: HashMap<u32, (f64, Micros)> = HashMap::new();
+    let mut balances: HashMap<u32, (f64, Micros)> = HashMap::new();
     let mut sent = HashSet::new();
     for event in events {
-        let What::Whole { what: Some(of), .. } = &event.what else {
+        let EventKind::AttemptReceived {
+            request: Some(request),
+            ..
+        } = &event.kind
+        else {
             continue;
         };
-        let Some(arrival) = schedule.arrival(*of).filter(|_| sent.insert(*of)) else {
+        let Some(arrival) = schedule.arrival(*request).filter(|_| sent.insert(*request)) else {
             continue;
         };
         let index = schedule.customers[arrival.customer as usize].plan;
         let (plan, units) = (&PLANS[index], arrival.class().units);
-        let (store, last) = stores
+        let (balance, last) = balances
             .entry(arrival.customer)
             .or_insert((plan.burst, event.at));
-        *store = (*store + plan.rate * seconds(event.at - *last)).min(plan.burst);
+        *balance = (*balance + plan.rate * seconds(event.at - *last)).min(plan.burst);
         *last = event.at;
         sums[index].0 += units;
-        match *store >= units {
-            true => *store -= units,
+        match *balance >= units {
+            true => *balance -= units,
             false => sums[index].1 += units,
         }
     }
@@ -202,30 +207,30 @@
 }
 
 impl Summary {
-    /// Sums a run up.
-    pub fn of(outcome: &Outcome) -> Summary {
+    /// Summarises a run.
+    pub fn from_outcome(outcome: &Outcome) -> Summary {
         let scenario = &outcome.scenario;
         let schedule = Schedule::draw(scenario);
-        let mut total = Counting::named("all");
+        let mut total = RowBuilder::named("all");
         let mut classes: Vec<_> = CLASSES
             .iter()
-            .map(|class| Counting::named(class.name))
+            .map(|class| RowBuilder::named(class.name))
             .collect();
         let mut plans: Vec<_> = PLANS
             .iter()
-            .map(|plan| Counting::named(plan.name))
+            .map(|plan| RowBuilder::named(plan.name))
             .collect();
-        for (arrival, piece) in schedule
+        for (arrival, job) in schedule
             .arrivals
             .iter()
-            .zip(&pieces(&outcome.events, schedule.arrivals.len()))
+            .zip(&work_outcomes(&outcome.events, schedule.arrivals.len()))
         {
-            let aim = arrival.class().aim;
-            total.count(piece, aim);
-            classes[arrival.class].count(piece, aim);
-            plans[schedule.customers[arrival.customer as usize].plan].count(piece, aim);
+            let latency_target = arrival.class().latency_target;
+            total.count(job, latency_target);
+            classes[arrival.class].count(job, latency_target);
+            plans[schedule.customers[arrival.customer as usize].plan].count(job, latency_target);
         }
-        let mut plans: Vec<Row> = plans.into_iter().map(Counting::done).collect();
+        let mut plans: Vec<Row> = plans.into_iter().map(RowBuilder::finish).collect();
         for (row, (sent, beyond)) in plans
             .iter_mut()
             .zip(beyond_quota(&outcome.events, &schedule))
@@ -233,13 +238,16 @@
             row.beyond_quota = (sent > 0.0).then_some(beyond / sent);
         }
         let mut asked = vec![0; outcome.usage.len()];
-        let (mut attempts, mut second_effects, mut late) = (0, 0, 0);
+        let (mut attempts, mut repeated_effects, mut late) = (0, 0, 0);
         for event in &outcome.events {
-            match &event.what {
-                What::Asked { limiter, .. } => asked[*limiter] += 1,
-                What::Whole { .. } => attempts += 1,
-                What::Ran { second: true, .. } => second_effects += 1,
-                What::Late { by } => late = late.max(*by),
+            match &event.kind {
+                EventKind::RequestSent { limiter, .. } => asked[*limiter] += 1,
+                EventKind::AttemptReceived { .. } => attempts += 1,
+                EventKind::AttemptExecuted {
+                    repeated_effect: true,
+                    ..
+                } => repeated_effects += 1,
+                EventKind::StandInsLate { delay } => late = late.max(*delay),
                 _ => {}
             }
         }
@@ -269,19 +277,19 @@
             scenario: scenario.name.clone(),
             seed: scenario.seed,
             seconds: seconds(scenario.length),
-            total: total.done(),
-            classes: classes.into_iter().map(Counting::done).collect(),
+            total: total.finish(),
+            classes: classes.into_iter().map(RowBuilder::finish).collect(),
             plans,
             limiters: limiters.collect(),
             attempts,
-            second_effects,
+            repeated_effects,
             stand_ins_late_ms: late as f64 / 1000.0,
             cut_short: outcome.cut_short,
-            verdict: outcome.judgement.findings.clone(),
+            verdict: outcome.verdict.findings.clone(),
         }
     }
 
-    /// The tables for a terminal or a log.
+    /// Renders the tables for a terminal or a log.
     pub fn to_text(&self) -> String {
         let header = [
             "",
@@ -294,14 +302,14 @@
             "p99 ms",
             "beyond quota",
         ];
-        let mut work = table(&header);
+        let mut job = table(&header);
         for row in [&self.total]
             .into_iter()
             .chain(&self.classes)
             .chain(&self.plans)
         {
             if row.asked > 0 {
-                work.add_row(row.cells());
+                job.add_row(row.cells());
             }
         }
         let header = [
@@ -325,7 +333,7 @@
         }
         let mut rules = table(&["rule", "verdict"]);
         for finding in &self.verdict {
-            rules.add_row([finding.rule.to_string(), verdict(finding)]);
+            rules.add_row([finding.rule.to_string(), describe_finding(finding)]);
         }
         let late = match self.stand_ins_late_ms {
             late if late > 0.0 => format!("the stand-ins ran up to {late:.0} ms late"),
@@ -338,22 +346,22 @@
         };
         let (name, seed, length) = (&self.scenario, self.seed, self.seconds);
         format!(
-            "{name}, seed {seed}, {length} s\n{work}\n{limiters}\n{rules}\n{} attempts at servers; {} effects had \
+            "{name}, seed {seed}, {length} s\n{job}\n{limiters}\n{rules}\n{} attempts at servers; {} effects had \
              again over clients' own tries; {late}{cut}",
-            self.attempts, self.second_effects
+            self.attempts, self.repeated_effects
         )
     }
 }
 
-/// The first break of each rule that has one, with its story.
-pub fn stories(judgement: &Judgement) -> String {
+/// The first violation of each rule that has one, with its history.
+pub fn violation_histories(verdict: &Verdict) -> String {
     let mut text = String::new();
-    for first in judgement
+    for first in verdict
         .findings
         .iter()
         .filter_map(|finding| finding.first.as_ref())
     {
-        let when = if first.late {
+        let when = if first.stand_ins_late {
             ", while the stand-ins ran late"
         } else {
             ""
@@ -361,19 +369,19 @@
         text += &format!(
             "\n{}: {}, at {:.6} s{when}\n",
             first.rule,
-            first.what,
+            first.message,
             seconds(first.at)
         );
-        for line in &first.story {
+        for line in &first.history {
             text += &format!("  {line}\n");
         }
     }
     text
 }
 
-/// A finding in a few words.
-pub fn verdict(finding: &Finding) -> String {
-    match (finding.broken, finding.late) {
+/// Describes a finding in a few words.
+pub fn describe_finding(finding: &Finding) -> String {
+    match (finding.violations, finding.uncertain) {
         (0, 0) => "held".into(),
         (0, late) => format!("late: {late} times, while the stand-ins ran late"),
         (broken, 0) => format!("BROKEN {broken} times"),
@@ -384,7 +392,7 @@
 }
 
 impl Row {
-    /// Its cells as they are shown.
+    /// The cells of the row as text.
     pub fn cells(&self) -> Vec<String> {
         let part = |count: u64| match count {
             0 => "0".into(),
@@ -423,54 +431,58 @@
     table
 }
 
-/// What happened in each stretch of a run.
+/// Rates and response times in one time bin of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Bin {
-    /// Tries that came to limiters.
+pub struct TimeBin {
+    /// Requests sent to limiters, per second.
     pub asked: f64,
-    /// Answers by kind.
+    /// Responses with status 200, per second.
     pub served: f64,
-    /// 429 and 503.
+    /// Responses with status 429 or 503, per second.
     pub refused: f64,
-    /// Any other end.
+    /// Requests with any other end except cancelled and unreachable ones, per second.
     pub failed: f64,
-    /// Median time of tries served then, in milliseconds.
+    /// Median time of the requests served in this bin, in milliseconds.
     pub p50_ms: f64,
-    /// The 99th percentile.
+    /// The 99th percentile of that time, in milliseconds.
     pub p99_ms: f64,
 }
 
-/// A stretch's length.
-pub const BIN: Micros = SECOND / 2;
+/// Length of a time bin.
+pub const TIME_BIN: Micros = SECOND / 2;
 
-/// The run in stretches, each as rates a second.
-pub fn bins(events: &[Event], length: Micros) -> Vec<Bin> {
-    let count = length.div_ceil(BIN) as usize;
-    let mut bins = vec![Bin::default(); count];
+/// Divides the run into time bins.
+pub fn bins(events: &[Event], length: Micros) -> Vec<TimeBin> {
+    let count = length.div_ceil(TIME_BIN) as usize;
+    let mut bins = vec![TimeBin::default(); count];
     let mut times: Vec<Vec<f64>> = vec![Vec::new(); count];
-    let mut asked: BTreeMap<Try, Micros> = BTreeMap::new();
-    let rate = SECOND as f64 / BIN as f64;
+    let mut asked: BTreeMap<RequestId, Micros> = BTreeMap::new();
+    let rate = SECOND as f64 / TIME_BIN as f64;
     for event in events {
-        let at = (event.at / BIN) as usize;
+        let at = (event.at / TIME_BIN) as usize;
         let Some(bin) = bins.get_mut(at) else {
             continue;
         };
-        match &event.what {
-            What::Asked { what, .. } => {
-                asked.insert(*what, event.at);
+        match &event.kind {
+            EventKind::RequestSent { request, .. } => {
+                asked.insert(*request, event.at);
                 bin.asked += rate;
             }
-            What::Answered {
-                what, status: 200, ..
+            EventKind::Responded {
+                request,
+                status: 200,
+                ..
             } => {
                 bin.served += rate;
-                let time = asked.get(what).map_or(0, |asked| event.at - asked);
+                let time = asked.get(request).map_or(0, |asked| event.at - asked);
                 times[at].push(time as f64 / 1000.0);
             }
-            What::Answered {
+            EventKind::Responded {
                 status: 429 | 503, ..
             } => bin.refused += rate,
-            What::Answered { .. } | What::Dropped { .. } | What::GaveUp { .. } => {
+            EventKind::Responded { .. }
+            | EventKind::ConnectionLost { .. }
+            | EventKind::RequestTimedOut { .. } => {
                 bin.failed += rate;
             }
             _ => {}
@@ -488,7 +500,7 @@
     use super::*;
 
     #[test]
-    fn a_percentile_is_a_value_that_was_seen() {
+    fn a_percentile_is_one_of_the_values() {
         let values: Vec<f64> = (1..=100).map(f64::from).collect();
         assert_eq!(
             (percentile(&values, 0.5), percentile(&values, 0.99)),
@@ -501,30 +513,30 @@
         assert_eq!(percentile(&[], 0.5), 0.0);
     }
 
-    /// A refused try whose retry is served is served late or in time by its first try's clock.
+    /// A piece of work that is rejected once and then served is in time or late as counted from its first request.
     #[test]
-    fn a_retry_belongs_to_its_first_try() {
+    fn a_retry_counts_from_the_first_request() {
         let asked = |number, at| Event {
             at,
-            what: What::Asked {
-                what: Try(number),
-                first: Try(0),
+            kind: EventKind::RequestSent {
+                request: RequestId(number),
+                first_request: RequestId(0),
                 limiter: 0,
                 class: 0,
                 plan: 0,
                 customer: 0,
                 units: 1.0,
                 key: 0,
-                patience: SECOND,
+                time_limit: SECOND,
                 reused: false,
             },
         };
         let answered = |number, at, status| Event {
             at,
-            what: What::Answered {
-                what: Try(number),
+            kind: EventKind::Responded {
+                request: RequestId(number),
                 status,
-                sound: true,
+                valid: true,
                 retry_after: None,
             },
         };
@@ -534,10 +546,10 @@
             asked(1, 300_000),
             answered(1, 450_000, 200),
         ];
-        let pieces = pieces(&events, 1);
-        let mut counting = Counting::default();
-        counting.count(&pieces[0], 400_000);
-        let row = counting.done();
+        let work_outcomes = work_outcomes(&events, 1);
+        let mut builder = RowBuilder::default();
+        builder.count(&work_outcomes[0], 400_000);
+        let row = builder.finish();
         assert_eq!(
             (row.asked, row.in_time, row.late, row.p50_ms),
             (1, 0, 1, 450.0)
--- a/crates/emberpin-testbed/src/scenario/fault_table.rs
+++ b/crates/emberpin-testbed/src/scenario/fault_table.rs
@@ -1,19 +1,19 @@
-//! Reads a fault from its table: each kind takes what it needs, and nothing may be left over.
+//! Builds a fault from its TOML table: each kind takes the fields that it needs, and no field may be left over.
 
 use super::bounds::{index, number, required, time};
 use super::error::Problem;
-use super::{micros, Fault, Kind, RawFault, Site, TimedFault, Way, MOST_SECONDS};
+use super::{micros, Fault, FaultKind, LinkDirection, RawFault, Site, TimedFault, MAX_SECONDS};
 use crate::figures::PLANS;
 use crate::trace::Micros;
 use serde::Deserialize;
 
-/// What a fault needs, taken out of its table; whatever is left over then is of no use to it.
-struct Taking<'a> {
+/// The fields of a fault's table. Each accessor takes its field out, so that unused fields remain.
+struct FaultFields<'a> {
     raw: RawFault,
     site: &'a Site,
 }
 
-impl Taking<'_> {
+impl FaultFields<'_> {
     fn limiter(&mut self) -> Result<usize, Problem> {
         index("limiter", self.raw.limiter.take(), self.site.limiters)
     }
@@ -22,15 +22,15 @@
         index("server", self.raw.server.take(), self.site.servers)
     }
 
-    fn hall(&mut self) -> Result<usize, Problem> {
-        index("hall", self.raw.hall.take(), self.site.halls)
+    fn zone(&mut self) -> Result<usize, Problem> {
+        index("hall", self.raw.zone.take(), self.site.halls)
     }
 
     fn length(&mut self) -> Result<Micros, Problem> {
         time("for_s", self.raw.for_s.take(), 1.0)
     }
 
-    fn back(&mut self) -> Result<Micros, Problem> {
+    fn restart_after(&mut self) -> Result<Micros, Problem> {
         time("back_s", self.raw.back_s.take(), 1.0)
     }
 
@@ -67,7 +67,7 @@
             })
     }
 
-    /// One of the words that this fault knows.
+    /// Parses the field `how` as one of the values that this kind of fault knows.
     fn how<T: for<'a> Deserialize<'a>>(&mut self) -> Result<T, Problem> {
         let word = required("how", self.raw.how.take())?;
         T::deserialize(toml::Value::String(word.clone())).map_err(|error| {
@@ -92,13 +92,13 @@
         Ok(group)
     }
 
-    /// Guards against a value that its writer believes to matter.
-    fn rest(&self) -> Result<(), Problem> {
+    /// Rejects fields that this kind of fault does not use, since their author expects an effect.
+    fn reject_unused(&self) -> Result<(), Problem> {
         let raw = &self.raw;
         let left = [
             ("limiter", raw.limiter.is_some()),
             ("server", raw.server.is_some()),
-            ("hall", raw.hall.is_some()),
+            ("hall", raw.zone.is_some()),
             ("plan", raw.plan.is_some()),
             ("for_s", raw.for_s.is_some()),
             ("back_s", raw.back_s.is_some()),
@@ -107,9 +107,9 @@
             ("times", raw.times.is_some()),
             ("delay_ms", raw.delay_ms.is_some()),
             ("point", raw.point.is_some()),
-            ("lie", raw.lie.is_some()),
+            ("lie", raw.disk_fault.is_some()),
             ("how", raw.how.is_some()),
-            ("way", raw.way.is_some()),
+            ("way", raw.direction.is_some()),
             ("group", raw.group.is_some()),
         ];
         match left.iter().find(|(_, left)| *left) {
@@ -121,156 +121,174 @@
 
 impl RawFault {
     pub(super) fn check(&self, site: &Site) -> Result<Vec<TimedFault>, Problem> {
-        number("at_s", self.at_s, 0.0, MOST_SECONDS)?;
+        number("at_s", self.at_s, 0.0, MAX_SECONDS)?;
         let at = micros(self.at_s);
-        let mut of = Taking {
+        let mut fields = FaultFields {
             raw: self.clone(),
             site,
         };
         let one = |fault| vec![TimedFault { at, fault }];
-        let faults = match self.what {
-            Kind::LimiterKilled => one(Fault::LimiterKilled {
-                limiter: of.limiter()?,
-                back: of.back()?,
+        let faults = match self.kind {
+            FaultKind::LimiterKilled => one(Fault::LimiterKilled {
+                limiter: fields.limiter()?,
+                restart_after: fields.restart_after()?,
             }),
-            Kind::LimiterRestarted => one(Fault::LimiterRestarted {
-                limiter: of.limiter()?,
+            FaultKind::LimiterRestarted => one(Fault::LimiterRestarted {
+                limiter: fields.limiter()?,
             }),
-            Kind::LimitersRolled => {
-                let every = of.every()?;
+            FaultKind::LimitersRolled => {
+                let every = fields.every()?;
                 let each = |limiter: usize| TimedFault {
                     at: at + every * limiter as Micros,
                     fault: Fault::LimiterRestarted { limiter },
                 };
                 (0..site.limiters).map(each).collect()
             }
-            Kind::ServerKilled => one(Fault::ServerKilled {
-                server: of.server()?,
-                back: of.back()?,
+            FaultKind::ServerKilled => one(Fault::ServerKilled {
+                server: fields.server()?,
+                restart_after: fields.restart_after()?,
             }),
-            Kind::ServerReplaced => one(Fault::ServerReplaced {
-                server: of.server()?,
+            FaultKind::ServerReplaced => one(Fault::ServerReplaced {
+                server: fields.server()?,
             }),
-            Kind::ServersRolled => {
-                let every = of.every()?;
+            FaultKind::ServersRolled => {
+                let every = fields.every()?;
                 let each = |server: usize| TimedFault {
                     at: at + every * server as Micros,
                     fault: Fault::ServerReplaced { server },
                 };
                 (0..site.servers).map(each).collect()
             }
-            Kind::ServerDrained => one(Fault::ServerDrained {
-                server: of.server()?,
-                length: of.length()?,
+            FaultKind::ServerDrained => one(Fault::ServerDrained {
+                server: fields.server()?,
+                length: fields.length()?,
             }),
-            Kind::ServerStalled => one(Fault::ServerStalled {
-                server: of.server()?,
-                length: of.length()?,
+            FaultKind::ServerStalled => one(Fault::ServerStalled {
+                server: fields.server()?,
+                length: fields.length()?,
             }),
-            Kind::ServerSpoils => one(Fault::ServerSpoils {
-                server: of.server()?,
-                how: of.how()?,
-                share: of.share()?,
-                length: of.length()?,
+            FaultKind::ServerResponsesFaulty => one(Fault::ServerResponsesFaulty {
+                server: fields.server()?,
+                response_fault: fields.how()?,
+                share: fields.share()?,
+                length: fields.length()?,
             }),
-            Kind::ServerRefuses => one(Fault::ServerRefuses {
-                server: of.server()?,
-                length: of.length()?,
+            FaultKind::ServerRefuses => one(Fault::ServerRefuses {
+                server: fields.server()?,
+                length: fields.length()?,
             }),
-            Kind::ServerMoved => one(Fault::ServerMoved {
-                server: of.server()?,
+            FaultKind::ServerMoved => one(Fault::ServerMoved {
+                server: fields.server()?,
             }),
-            Kind::HallLost => one(Fault::HallLost {
-                hall: of.hall()?,
-                back: of.back()?,
+            FaultKind::ZoneLost => one(Fault::ZoneLost {
+                zone: fields.zone()?,
+                restart_after: fields.restart_after()?,
             }),
-            Kind::LinkCut => one(Fault::LinkCut {
-                limiter: of.limiter()?,
-                hall: of.hall()?,
-                way: required("way", of.raw.way.take())?,
-                length: of.length()?,
+            FaultKind::LinkCut => one(Fault::LinkCut {
+                limiter: fields.limiter()?,
+                zone: fields.zone()?,
+                direction: required("way", fields.raw.direction.take())?,
+                length: fields.length()?,
             }),
-            Kind::LinkSlow => one(Fault::LinkSlow {
-                limiter: of.limiter()?,
-                hall: of.hall()?,
-                delay: of.delay()?,
-                length: of.length()?,
+            FaultKind::LinkSlow => one(Fault::LinkSlow {
+                limiter: fields.limiter()?,
+                zone: fields.zone()?,
+                delay: fields.delay()?,
+                length: fields.length()?,
             }),
-            Kind::PeersSplit => {
-                let way = of.raw.way.take().unwrap_or(Way::Both);
+            FaultKind::PeersSplit => {
+                let direction = fields.raw.direction.take().unwrap_or(LinkDirection::Both);
                 one(Fault::PeersSplit {
-                    group: of.group()?,
-                    way,
-                    length: of.length()?,
+                    group: fields.group()?,
+                    direction,
+                    length: fields.length()?,
                 })
             }
-            Kind::PeersPoor => one(Fault::PeersPoor {
-                loss: of.share()?,
-                delay: of.delay()?,
-                length: of.length()?,
+            FaultKind::PeersLossy => one(Fault::PeersLossy {
+                loss: fields.share()?,
+                delay: fields.delay()?,
+                length: fields.length()?,
             }),
-            Kind::DiscoverySilent => one(Fault::DiscoverySilent {
-                length: of.length()?,
+            FaultKind::DiscoverySilent => one(Fault::DiscoverySilent {
+                length: fields.length()?,
             }),
-            Kind::DiscoveryDead => one(Fault::DiscoveryDead {
-                length: of.length()?,
+            FaultKind::DiscoveryDead => one(Fault::DiscoveryDead {
+                length: fields.length()?,
             }),
-            Kind::DiscoveryTells => {
-                let group = of.raw.group.is_some().then(|| of.group()).transpose()?;
-                one(Fault::DiscoveryTells {
-                    how: of.how()?,
+            FaultKind::DiscoveryListFaulty => {
+                let group = fields
+                    .raw
+                    .group
+                    .is_some()
+                    .then(|| fields.group())
+                    .transpose()?;
+                one(Fault::DiscoveryListFaulty {
+                    list_fault: fields.how()?,
                     group,
-                    length: of.length()?,
+                    length: fields.length()?,
                 })
             }
-            Kind::LimiterPaused => one(Fault::LimiterPaused {
-                limiter: of.limiter()?,
-                length: of.length()?,
+            FaultKind::LimiterPaused => one(Fault::LimiterPaused {
+                limiter: fields.limiter()?,
+                length: fields.length()?,
             }),
-            Kind::DiskLies => {
-                let (limiter, lie) = (of.limiter()?, required("lie", of.raw.lie.take())?);
-                one(Fault::DiskLies { limiter, lie })
+            FaultKind::DiskFaulty => {
+                let (limiter, disk_fault) = (
+                    fields.limiter()?,
+                    required("lie", fields.raw.disk_fault.take())?,
+                );
+                one(Fault::DiskFaulty {
+                    limiter,
+                    disk_fault,
+                })
             }
-            Kind::LimiterStops => {
-                let back = of.raw.back_s.is_some().then(|| of.back()).transpose()?;
-                let point = required("point", of.raw.point.take())?;
-                let (limiter, length) = (of.limiter()?, of.length()?);
-                one(Fault::LimiterStops {
+            FaultKind::LimiterStopsAtPoint => {
+                let restart_after = fields
+                    .raw
+                    .back_s
+                    .is_some()
+                    .then(|| fields.restart_after())
+                    .transpose()?;
+                let point = required("point", fields.raw.point.take())?;
+                let (limiter, length) = (fields.limiter()?, fields.length()?);
+                one(Fault::LimiterStopsAtPoint {
                     limiter,
                     point,
                     length,
-                    back,
+                    restart_after,
                 })
             }
-            Kind::LimitersKilled => {
-                let count = (of.share()? * site.limiters as f64).round() as usize;
+            FaultKind::LimitersKilled => {
+                let count = (fields.share()? * site.limiters as f64).round() as usize;
                 one(Fault::LimitersKilled {
                     count,
-                    back: of.back()?,
+                    restart_after: fields.restart_after()?,
                 })
             }
-            Kind::CallersKilled => {
-                let count = (of.share()? * site.limiters as f64).round() as usize;
-                one(Fault::CallersKilled {
+            FaultKind::DiscoveryCallersKilled => {
+                let count = (fields.share()? * site.limiters as f64).round() as usize;
+                one(Fault::DiscoveryCallersKilled {
                     count,
-                    back: of.back()?,
+                    restart_after: fields.restart_after()?,
                 })
             }
-            Kind::LimiterHungUp => one(Fault::LimiterHungUp {
-                limiter: of.limiter()?,
+            FaultKind::LimiterHungUp => one(Fault::LimiterHungUp {
+                limiter: fields.limiter()?,
+            }),
+            FaultKind::CustomersMove => one(Fault::CustomersMove {
+                share: fields.share()?,
             }),
-            Kind::FirmsHop => one(Fault::FirmsHop { share: of.share()? }),
-            Kind::FirmHammers => one(Fault::FirmHammers {
-                plan: of.plan()?,
-                times: of.times()?,
-                length: of.length()?,
+            FaultKind::CustomerFloods => one(Fault::CustomerFloods {
+                plan: fields.plan()?,
+                times: fields.times()?,
+                length: fields.length()?,
             }),
-            Kind::Rush => one(Fault::Rush {
-                times: of.times()?,
-                length: of.length()?,
+            FaultKind::LoadSpike => one(Fault::LoadSpike {
+                times: fields.times()?,
+                length: fields.length()?,
             }),
         };
-        of.rest()?;
+        fields.reject_unused()?;
         Ok(faults)
     }
 }
