--- a/crates/emberpin-testbed/src/site/fault_injection.rs
+++ b/crates/emberpin-testbed/src/site/fault_injection.rs
@@ -1,17 +1,17 @@
 //! Injects the faults of a scenario into a running site, and ends them.
 
-use super::{Stage, TICK};
+use super::{RunningSite, TICK};
 use crate::error::{SiteError, StandIn};
-use crate::peers::Split;
-use crate::scenario::{Fault, Way};
+use crate::peers::NetworkSplit;
+use crate::scenario::{Fault, LinkDirection};
 use crate::servers::{Process, Server};
-use crate::trace::{Micros, Standing};
+use crate::trace::{Micros, ServerState};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// How much of its drain a server keeps for the requests that it has, after all limiters were notified.
+/// How long a server keeps draining after all limiters were notified, to finish the requests that it has.
 const DRAIN_REMAINDER: Duration = Duration::from_millis(900);
 /// The longest that a draining server waits for the requests that it has.
 const MAX_DRAIN: Duration = Duration::from_secs(4);
@@ -20,12 +20,12 @@
 /// For how long a moved server still answers at its old address after limiters were notified.
 const OLD_ADDRESS_GRACE: Duration = Duration::from_secs(1);
 
-/// Whether the trace is to have a line when a fault is over.
+/// Whether the end of a fault is recorded in the trace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FaultEnd {
-    /// It took effect and ended.
-    Over,
-    /// It had no effect that could end, or noted its end itself.
+    /// The fault took effect and ended.
+    ConnectionEnd,
+    /// The fault had no effect that could end, or its end is not recorded.
     Silent,
 }
 
@@ -33,85 +33,100 @@
     Duration::from_micros(length)
 }
 
-impl Stage {
-    /// Injects a fault, and returns once it is over.
+impl RunningSite {
+    /// Injects a fault and returns once it is over.
     pub(super) async fn inject(self: Rc<Self>, fault: Fault) {
-        self.note(fault.to_string());
+        self.record_fault(fault.to_string());
         let end = match &fault {
             Fault::LimiterKilled { .. }
             | Fault::LimiterRestarted { .. }
             | Fault::LimiterPaused { .. }
-            | Fault::DiskLies { .. }
-            | Fault::LimiterStops { .. }
+            | Fault::DiskFaulty { .. }
+            | Fault::LimiterStopsAtPoint { .. }
             | Fault::LimiterHungUp { .. }
-            | Fault::CallersKilled { .. }
+            | Fault::DiscoveryCallersKilled { .. }
             | Fault::LimitersKilled { .. } => self.clone().inject_at_limiters(&fault).await,
             Fault::ServerKilled { .. }
             | Fault::ServerReplaced { .. }
             | Fault::ServerDrained { .. }
             | Fault::ServerStalled { .. }
-            | Fault::ServerSpoils { .. }
+            | Fault::ServerResponsesFaulty { .. }
             | Fault::ServerRefuses { .. }
             | Fault::ServerMoved { .. }
-            | Fault::HallLost { .. } => self.inject_at_servers(&fault).await,
+            | Fault::ZoneLost { .. } => self.inject_at_servers(&fault).await,
             Fault::LinkCut { .. }
             | Fault::LinkSlow { .. }
             | Fault::PeersSplit { .. }
-            | Fault::PeersPoor { .. } => self.inject_at_links(&fault).await,
+            | Fault::PeersLossy { .. } => self.inject_at_links(&fault).await,
             Fault::DiscoverySilent { .. }
             | Fault::DiscoveryDead { .. }
-            | Fault::DiscoveryTells { .. } => self.inject_at_discovery(&fault).await,
-            // Drawn into the schedule already; here they only last.
-            Fault::FirmHammers { length, .. } | Fault::Rush { length, .. } => {
+            | Fault::DiscoveryListFaulty { .. } => self.inject_at_discovery(&fault).await,
+            // Already part of the schedule; only their duration passes here.
+            Fault::CustomerFloods { length, .. } | Fault::LoadSpike { length, .. } => {
                 sleep(duration(*length)).await;
-                FaultEnd::Over
+                FaultEnd::ConnectionEnd
             }
-            Fault::FirmsHop { .. } => FaultEnd::Silent,
+            Fault::CustomersMove { .. } => FaultEnd::Silent,
         };
-        if end == FaultEnd::Over {
-            self.note(format!("over: {fault}"));
+        if end == FaultEnd::ConnectionEnd {
+            self.record_fault(format!("over: {fault}"));
         }
     }
 
     async fn inject_at_limiters(self: Rc<Self>, fault: &Fault) -> FaultEnd {
         match fault {
-            Fault::LimiterKilled { limiter, back } => {
-                self.kill_limiter(*limiter, duration(*back)).await;
+            Fault::LimiterKilled {
+                limiter,
+                restart_after,
+            } => {
+                self.kill_limiter(*limiter, duration(*restart_after)).await;
             }
             Fault::LimiterRestarted { limiter } => self.restart_limiter(*limiter).await,
             Fault::LimiterPaused { limiter, length } => {
                 self.pause_limiter(*limiter, duration(*length)).await;
             }
-            Fault::DiskLies { limiter, lie } => {
-                self.wait_for_disk_lie(*limiter, lie).await;
+            Fault::DiskFaulty {
+                limiter,
+                disk_fault,
+            } => {
+                self.wait_for_disk_fault(*limiter, disk_fault).await;
                 return FaultEnd::Silent;
             }
-            Fault::LimiterStops {
+            Fault::LimiterStopsAtPoint {
                 limiter,
                 point,
                 length,
-                back,
+                restart_after,
             } => {
-                let back = back.map(duration);
+                let restart_after = restart_after.map(duration);
                 return self
-                    .stop_limiter_at(*limiter, point, duration(*length), back)
+                    .stop_limiter_at(*limiter, point, duration(*length), restart_after)
                     .await;
             }
-            Fault::LimiterHungUp { limiter } => self.limiters[*limiter].hang_up(),
-            Fault::CallersKilled { count, back } => {
-                self.kill_callers(*count, duration(*back)).await;
+            Fault::LimiterHungUp { limiter } => self.limiters[*limiter].send_sighup(),
+            Fault::DiscoveryCallersKilled {
+                count,
+                restart_after,
+            } => {
+                self.kill_callers(*count, duration(*restart_after)).await;
             }
-            Fault::LimitersKilled { count, back } => {
-                self.kill_limiters(*count, duration(*back)).await;
+            Fault::LimitersKilled {
+                count,
+                restart_after,
+            } => {
+                self.kill_limiters(*count, duration(*restart_after)).await;
             }
             _ => return FaultEnd::Silent,
         }
-        FaultEnd::Over
+        FaultEnd::ConnectionEnd
     }
 
     async fn inject_at_servers(&self, fault: &Fault) -> FaultEnd {
         let injected = match fault {
-            Fault::ServerKilled { server, back } => self.kill_server(*server, *back).await,
+            Fault::ServerKilled {
+                server,
+                restart_after,
+            } => self.kill_server(*server, *restart_after).await,
             Fault::ServerReplaced { server } => {
                 self.replace_server(&self.servers[*server]).await;
                 Some(())
@@ -121,78 +136,85 @@
                 Some(())
             }
             Fault::ServerStalled { server, length } => {
-                let set = |process: &Process, stalls| process.stall(stalls);
+                let set = |process: &Process, stalls| process.set_stalled(stalls);
                 self.disturb_server(*server, *length, set).await
             }
-            Fault::ServerSpoils {
+            Fault::ServerResponsesFaulty {
                 server,
-                how,
+                response_fault,
                 share,
                 length,
             } => {
                 let set = |process: &Process, spoils: bool| {
-                    process.spoil(spoils.then_some((*how, *share)));
+                    process.set_response_fault(spoils.then_some((*response_fault, *share)));
                 };
                 self.disturb_server(*server, *length, set).await
             }
             Fault::ServerRefuses { server, length } => {
-                let set = |process: &Process, refuses| process.refuse(refuses);
+                let set = |process: &Process, refuses| process.set_refusing(refuses);
                 self.disturb_server(*server, *length, set).await
             }
             Fault::ServerMoved { server } => self.move_server(*server).await,
-            Fault::HallLost { hall, back } => {
-                self.lose_hall(*hall, *back).await;
+            Fault::ZoneLost {
+                zone,
+                restart_after,
+            } => {
+                self.lose_zone(*zone, *restart_after).await;
                 Some(())
             }
             _ => None,
         };
-        injected.map_or(FaultEnd::Silent, |()| FaultEnd::Over)
+        injected.map_or(FaultEnd::Silent, |()| FaultEnd::ConnectionEnd)
     }
 
     async fn inject_at_links(&self, fault: &Fault) -> FaultEnd {
         match fault {
             Fault::LinkCut {
                 limiter,
-                hall,
-                way,
+                zone,
+                direction,
                 length,
             } => {
-                let link = &self.world.links[*limiter][*hall];
-                link.set_cut(Some(*way));
+                let link = &self.world.links[*limiter][*zone];
+                link.set_cut(Some(*direction));
                 sleep(duration(*length)).await;
                 link.set_cut(None);
             }
             Fault::LinkSlow {
                 limiter,
-                hall,
+                zone,
                 delay,
                 length,
             } => {
-                let link = &self.world.links[*limiter][*hall];
+                let link = &self.world.links[*limiter][*zone];
                 link.set_delay(*delay);
                 sleep(duration(*length)).await;
                 link.set_delay(0);
             }
-            Fault::PeersSplit { group, way, length } => {
-                self.split(Some(Split {
+            Fault::PeersSplit {
+                group,
+                direction,
+                length,
+            } => {
+                self.set_peer_split(Some(NetworkSplit {
                     group: group.clone(),
-                    way: *way,
+                    direction: *direction,
                 }));
                 sleep(duration(*length)).await;
-                self.split(None);
+                self.set_peer_split(None);
             }
-            Fault::PeersPoor {
+            Fault::PeersLossy {
                 loss,
                 delay,
                 length,
             } => {
-                self.peers.make_poor(*loss, duration(*delay));
+                self.peers.set_loss(*loss, duration(*delay));
                 sleep(duration(*length)).await;
-                self.peers.make_poor(0.0, Duration::ZERO);
+                self.peers.set_loss(0.0, Duration::ZERO);
             }
             _ => return FaultEnd::Silent,
         }
-        FaultEnd::Over
+        FaultEnd::ConnectionEnd
     }
 
     async fn inject_at_discovery(&self, fault: &Fault) -> FaultEnd {
@@ -208,96 +230,100 @@
                 sleep(duration(*length)).await;
                 discovery.set_dead(false);
             }
-            Fault::DiscoveryTells { how, group, length } => {
-                discovery.set_untrue(Some((*how, group.clone())));
+            Fault::DiscoveryListFaulty {
+                list_fault,
+                group,
+                length,
+            } => {
+                discovery.set_list_fault(Some((*list_fault, group.clone())));
                 sleep(duration(*length)).await;
-                discovery.set_untrue(None);
+                discovery.set_list_fault(None);
             }
             _ => return FaultEnd::Silent,
         }
-        FaultEnd::Over
+        FaultEnd::ConnectionEnd
     }
 
     // ---- limiters
 
     /// Kills a limiter, which starts again after a while.
-    async fn kill_limiter(&self, number: usize, back: Duration) {
-        let _busy = self.busy[number].lock().await;
-        self.clients.down(number);
+    async fn kill_limiter(&self, number: usize, restart_after: Duration) {
+        let _lock = self.process_locks[number].lock().await;
+        self.clients.mark_down(number);
         self.limiters[number].kill().await;
-        sleep(back).await;
+        sleep(restart_after).await;
         self.restart(number).await;
     }
 
-    /// The same, while it may still be starting.
-    async fn kill_starting_limiter(&self, number: usize, back: Duration) {
-        self.clients.down(number);
+    /// Kills a limiter that may still be starting, then kills it again under its lock and restarts it.
+    async fn kill_starting_limiter(&self, number: usize, restart_after: Duration) {
+        self.clients.mark_down(number);
         self.limiters[number].kill().await;
-        self.kill_limiter(number, back).await;
+        self.kill_limiter(number, restart_after).await;
     }
 
     async fn restart_limiter(&self, number: usize) {
-        let _busy = self.busy[number].lock().await;
-        self.clients.down(number);
+        let _lock = self.process_locks[number].lock().await;
+        self.clients.mark_down(number);
         self.limiters[number].measure();
-        self.limiters[number].leave().await;
+        self.limiters[number].shut_down().await;
         self.restart(number).await;
     }
 
     async fn pause_limiter(&self, number: usize, length: Duration) {
         let limiter = &self.limiters[number];
-        limiter.pause(true);
+        limiter.set_paused(true);
         sleep(TICK).await;
         if !limiter.is_paused() {
-            self.note(format!("limiter {number} does not stand still"));
+            self.record_fault(format!("limiter {number} does not stand still"));
         }
         sleep(length).await;
-        limiter.pause(false);
+        limiter.set_paused(false);
     }
 
-    /// Waits until the limiter's disk has lied, or the run is over.
-    async fn wait_for_disk_lie(&self, number: usize, lie: &str) {
-        while !self.limiters[number].lie_said().exists() {
-            if self.over.get() {
+    /// Waits until the limiter's disk fault has taken effect, or the run is over.
+    async fn wait_for_disk_fault(&self, number: usize, disk_fault: &str) {
+        while !self.limiters[number].disk_fault_marker().exists() {
+            if self.shutting_down.get() {
                 return;
             }
             sleep(TICK).await;
         }
-        self.note(format!("the disk of limiter {number} lies: {lie}"));
+        self.record_fault(format!("the disk of limiter {number} lies: {disk_fault}"));
     }
 
-    /// Waits until the limiter stops itself at a point of its code, and kills it or has it go on after a while.
+    /// Waits until the limiter stops itself at a point of its code, then kills it or resumes it after a while.
     async fn stop_limiter_at(
         &self,
         number: usize,
         point: &str,
         length: Duration,
-        back: Option<Duration>,
+        restart_after: Option<Duration>,
     ) -> FaultEnd {
         let limiter = &self.limiters[number];
         while !limiter.is_paused() {
-            if self.over.get() {
+            if self.shutting_down.get() {
                 return FaultEnd::Silent;
             }
             sleep(TICK).await;
         }
-        self.note(format!("limiter {number} stands still at {point}"));
+        self.record_fault(format!("limiter {number} stands still at {point}"));
         sleep(length).await;
-        match back {
-            Some(back) => self.kill_limiter(number, back).await,
-            None => limiter.pause(false),
+        match restart_after {
+            Some(restart_after) => self.kill_limiter(number, restart_after).await,
+            None => limiter.set_paused(false),
         }
-        FaultEnd::Over
+        FaultEnd::ConnectionEnd
     }
 
-    /// Kills the next limiters that call the discovery service, each as it calls.
-    async fn kill_callers(self: Rc<Self>, count: usize, back: Duration) {
-        let mut calls = self.discovery.calls();
+    /// Kills the next limiters that call the discovery service, each as it calls, and restarts them.
+    async fn kill_callers(self: Rc<Self>, count: usize, restart_after: Duration) {
+        let mut calls = self.discovery.subscribe_to_calls();
         let mut killing = Vec::new();
         while let (true, Some(number)) = (killing.len() < count, calls.recv().await) {
-            let stage = self.clone();
+            let site = self.clone();
             killing.push(spawn_local(async move {
-                stage.kill_starting_limiter(number, back).await;
+                site.kill_starting_limiter(number, restart_after).await;
             }));
         }
         for killed in killing {
@@ -305,10 +331,10 @@
         }
     }
 
-    async fn kill_limiters(self: Rc<Self>, count: usize, back: Duration) {
+    async fn kill_limiters(self: Rc<Self>, count: usize, restart_after: Duration) {
         let kill = |number| {
-            let stage = self.clone();
-            spawn_local(async move { stage.kill_limiter(number, back).await })
+            let site = self.clone();
+            spawn_local(async move { site.kill_limiter(number, restart_after).await })
         };
         let killing: Vec<_> = (0..count).map(kill).collect();
         for killed in killing {
@@ -318,7 +344,7 @@
 
     // ---- servers
 
-    /// Has a server's process misbehave for a while; `None` if it does not run.
+    /// Makes a server's process faulty for a while; `None` if it does not run.
     async fn disturb_server(
         &self,
         server: usize,
@@ -332,61 +358,61 @@
         Some(())
     }
 
-    async fn kill_server(&self, server: usize, back: Micros) -> Option<()> {
+    async fn kill_server(&self, server: usize, restart_after: Micros) -> Option<()> {
         let server = &self.servers[server];
         let process = server.process()?;
         server.kill().await;
         self.discovery
-            .withdraw(server, process.life, process.boot_ms);
-        sleep(duration(back)).await;
+            .withdraw(server, process.incarnation, process.boot_ms);
+        sleep(duration(restart_after)).await;
         self.start_server(server).await;
         Some(())
     }
 
     async fn drain_server(&self, server: usize, length: Micros) {
         let server = &self.servers[server];
-        self.discovery.announce(server, Standing::Draining);
+        self.discovery.announce(server, ServerState::Draining);
         sleep(duration(length)).await;
-        self.discovery.announce(server, Standing::Ready);
+        self.discovery.announce(server, ServerState::Ready);
     }
 
     async fn move_server(&self, server: usize) -> Option<()> {
         let server = &self.servers[server];
         let process = server.process()?;
-        if let Err(source) = server.move_away().await {
+        if let Err(source) = server.move_to_new_addresses().await {
             self.fail(SiteError::stand_in(StandIn::NewAddress)(source));
             return None;
         }
-        self.discovery.announce(server, Standing::Ready);
-        sleep(self.notice() + OLD_ADDRESS_GRACE).await;
-        process.leave_old_addresses();
+        self.discovery.announce(server, ServerState::Ready);
+        sleep(self.notification_time() + OLD_ADDRESS_GRACE).await;
+        process.close_old_addresses();
         Some(())
     }
 
-    /// Cuts a hall off, and restarts its servers before it is back.
-    async fn lose_hall(&self, hall: usize, back: Micros) {
-        let in_hall = |server: &&Rc<Server>| self.world.hall(server.number) == hall;
-        let lost: Vec<_> = self.servers.iter().filter(in_hall).collect();
-        self.set_hall_cut(hall, Some(Way::Both));
-        for server in &lost {
+    /// Cuts a zone off, kills its servers, then restores the links and restarts the servers.
+    async fn lose_zone(&self, zone: usize, restart_after: Micros) {
+        let in_zone = |server: &&Rc<Server>| self.world.zone(server.number) == zone;
+        let lost_servers: Vec<_> = self.servers.iter().filter(in_zone).collect();
+        self.set_zone_cut(zone, Some(LinkDirection::Both));
+        for server in &lost_servers {
             if let Some(process) = server.process() {
                 self.discovery
-                    .withdraw(server, process.life, process.boot_ms);
+                    .withdraw(server, process.incarnation, process.boot_ms);
             }
         }
-        sleep(duration(back)).await;
-        for server in &lost {
+        sleep(duration(restart_after)).await;
+        for server in &lost_servers {
             server.kill().await;
         }
-        self.set_hall_cut(hall, None);
-        for server in &lost {
+        self.set_zone_cut(zone, None);
+        for server in &lost_servers {
             self.start_server(server).await;
         }
     }
 
-    fn set_hall_cut(&self, hall: usize, way: Option<Way>) {
+    fn set_zone_cut(&self, zone: usize, direction: Option<LinkDirection>) {
         for links in &self.world.links {
-            links[hall].set_cut(way);
+            links[zone].set_cut(direction);
         }
     }
 
@@ -395,36 +421,37 @@
         *self.problem.borrow_mut() = Some(error);
     }
 
-    /// A server is up again, cold, under whatever id it has now.
+    /// Starts a server cold with its current id, unless it runs or the site is shutting down.
     async fn start_server(&self, server: &Rc<Server>) {
-        if self.over.get() || server.process().is_some() {
+        if self.shutting_down.get() || server.process().is_some() {
             return;
         }
         match server.start(true).await {
-            Ok(()) => self.discovery.announce(server, Standing::Ready),
+            Ok(()) => self.discovery.announce(server, ServerState::Ready),
             Err(source) => self.fail(SiteError::stand_in(StandIn::Server(server.number))(source)),
         }
     }
 
-    /// After this time all limiters have been notified of a change.
-    fn notice(&self) -> Duration {
+    /// The time until all limiters have been notified of a change.
+    fn notification_time(&self) -> Duration {
         Duration::from_secs_f64(self.world.scenario.site.notice_ms[1] / 1000.0)
     }
 
-    /// Drains a server, ends its process once that is done, and starts a successor at the same addresses.
+    /// Drains a server, ends its process once it is idle or [`MAX_DRAIN`] is over, and starts a successor at the same
+    /// addresses.
     async fn replace_server(&self, server: &Rc<Server>) {
         let Some(process) = server.process() else {
             return;
         };
-        self.discovery.announce(server, Standing::Draining);
-        sleep(self.notice() + DRAIN_REMAINDER).await;
+        self.discovery.announce(server, ServerState::Draining);
+        sleep(self.notification_time() + DRAIN_REMAINDER).await;
         let latest = Instant::now() + MAX_DRAIN;
         while !process.is_idle() && Instant::now() < latest {
             sleep(TICK).await;
         }
         server.kill().await;
         self.discovery
-            .withdraw(server, process.life, process.boot_ms);
+            .withdraw(server, process.incarnation, process.boot_ms);
         server.generation.set(server.generation.get() + 1);
         sleep(SUCCESSOR_DELAY).await;
         self.start_server(server).await;
--- a/crates/emberpin-testbed/tests/common/mod.rs
+++ b/crates/emberpin-testbed/tests/common/mod.rs
@@ -1,18 +1,18 @@
-//! Playing a site of processes, and counting what was seen.
+//! Runs sites of limiter processes, and counts events in their traces.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-mod turns;
+mod site_slots;
 
 use emberpin_testbed::process::Program;
-use emberpin_testbed::report::stories;
+use emberpin_testbed::report::violation_histories;
 use emberpin_testbed::scenario::Scenario;
 use emberpin_testbed::site::{run, Outcome};
-use emberpin_testbed::trace::{Event, ProcessEnd, What, SECOND};
+use emberpin_testbed::trace::{Event, EventKind, ProcessEnd, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ffi::OsString;
 
-/// Limiters with this operator file, if any, and perhaps with links.
-pub fn play_by(operator: &str, links: bool, text: &str, seed: u64) -> Outcome {
+/// Runs a scenario with limiters that have this operator file, if it is not empty, and links if asked for.
+pub fn run_site_with(operator: &str, links: bool, text: &str, seed: u64) -> Outcome {
     let head = format!("name = \"t\"\nabout = \"A test's own site.\"\nseed = {seed}\n");
     let scenario = Scenario::parse("test", &format!("{head}{text}")).expect("sound");
     let file = tempfile::Builder::new()
@@ -30,39 +30,39 @@
         logs: false,
         links,
     };
-    let _turn = turns::Turn::take();
+    let _slot = site_slots::SiteSlot::acquire();
     run(&scenario, &program, |_| ()).unwrap_or_else(|e| panic!("seed {seed}: {e}"))
 }
 
-pub fn play_with(operator: &str, text: &str, seed: u64) -> Outcome {
-    play_by(operator, false, text, seed)
+pub fn run_with_operator_file(operator: &str, text: &str, seed: u64) -> Outcome {
+    run_site_with(operator, false, text, seed)
 }
 
-pub fn play(text: &str, seed: u64) -> Outcome {
-    play_with("", text, seed)
+pub fn run_site(text: &str, seed: u64) -> Outcome {
+    run_with_operator_file("", text, seed)
 }
 
-/// How many limiters were killed.
-pub fn killed(outcome: &Outcome) -> usize {
-    count(outcome, |what| {
+/// Number of kills of limiters.
+pub fn killed_limiters(outcome: &Outcome) -> usize {
+    count_events(outcome, |kind| {
         matches!(
-            what,
-            What::LimiterDown {
-                how: ProcessEnd::Killed,
+            kind,
+            EventKind::LimiterStopped {
+                end: ProcessEnd::Killed,
                 ..
             }
         )
     })
 }
 
-/// When each limiter first held the list, in seconds, in order.
-pub fn listed(outcome: &Outcome) -> Vec<f64> {
+/// When each limiter first got the endpoint list, in seconds, in order.
+pub fn list_times(outcome: &Outcome) -> Vec<f64> {
     let mut first = BTreeMap::new();
     for event in &outcome.events {
-        if let What::ListAnswered {
+        if let EventKind::DiscoveryCallEnded {
             limiter,
-            well: true,
-        } = event.what
+            succeeded: true,
+        } = event.kind
         {
             first
                 .entry(limiter)
@@ -74,81 +74,89 @@
     times
 }
 
-/// Calls of the list service between two times in seconds, and those that failed.
-pub fn calls(outcome: &Outcome, from: f64, to: f64) -> (usize, usize) {
+/// Calls to the discovery service between two times in seconds, and calls that failed in that period.
+pub fn discovery_calls(outcome: &Outcome, from: f64, to: f64) -> (usize, usize) {
     let within = |event: &&Event| (from..to).contains(&(event.at as f64 / SECOND as f64));
-    let count = |of: fn(&What) -> bool| {
+    let count = |selects: fn(&EventKind) -> bool| {
         outcome
             .events
             .iter()
             .filter(within)
-            .filter(|e| of(&e.what))
+            .filter(|e| selects(&e.kind))
             .count()
     };
     (
-        count(|what| matches!(what, What::ListAsked { .. })),
-        count(|what| matches!(what, What::ListAnswered { well: false, .. })),
+        count(|kind| matches!(kind, EventKind::DiscoveryCalled { .. })),
+        count(|kind| {
+            matches!(
+                kind,
+                EventKind::DiscoveryCallEnded {
+                    succeeded: false,
+                    ..
+                }
+            )
+        }),
     )
 }
 
-pub fn count(outcome: &Outcome, of: impl Fn(&What) -> bool) -> usize {
+pub fn count_events(outcome: &Outcome, selects: impl Fn(&EventKind) -> bool) -> usize {
     outcome
         .events
         .iter()
-        .filter(|event| of(&event.what))
+        .filter(|event| selects(&event.kind))
         .count()
 }
 
 #[track_caller]
-pub fn holds(outcome: &Outcome) {
+pub fn assert_rules_hold(outcome: &Outcome) {
     assert!(
-        !outcome.judgement.is_broken(),
+        !outcome.verdict.has_violations(),
         "seed {}:{}",
         outcome.scenario.seed,
-        stories(&outcome.judgement)
+        violation_histories(&outcome.verdict)
     );
 }
 
-/// When limiters called after a time, in seconds, in order.
-pub fn called_after(outcome: &Outcome, from: f64) -> Vec<f64> {
+/// Times of the calls to the discovery service after a time, in seconds, in order.
+pub fn call_times_after(outcome: &Outcome, from: f64) -> Vec<f64> {
     let times = outcome
         .events
         .iter()
-        .filter(|event| matches!(event.what, What::ListAsked { .. }));
+        .filter(|event| matches!(event.kind, EventKind::DiscoveryCalled { .. }));
     times
         .map(|event| event.at as f64 / SECOND as f64)
         .filter(|at| *at > from)
         .collect()
 }
 
-/// Which limiters did something between two times in seconds.
-pub fn who(
+/// The limiters, or other numbers, that `of` finds in the events between two times in seconds.
+pub fn limiters_that(
     outcome: &Outcome,
     from: u64,
     to: u64,
-    of: fn(&What) -> Option<usize>,
+    selects: fn(&EventKind) -> Option<usize>,
 ) -> BTreeSet<usize> {
     let within = outcome
         .events
         .iter()
         .filter(|event| (from * SECOND..to * SECOND).contains(&event.at));
-    within.filter_map(|event| of(&event.what)).collect()
+    within.filter_map(|event| selects(&event.kind)).collect()
 }
 
-/// One that called the list service.
-pub fn asked(what: &What) -> Option<usize> {
-    match what {
-        What::ListAsked { limiter } => Some(*limiter),
+/// The limiter that called the discovery service in this event.
+pub fn discovery_caller(kind: &EventKind) -> Option<usize> {
+    match kind {
+        EventKind::DiscoveryCalled { limiter } => Some(*limiter),
         _ => None,
     }
 }
 
-/// One that the list service answered.
-pub fn answered(what: &What) -> Option<usize> {
-    match what {
-        What::ListAnswered {
+/// The limiter whose call the discovery service answered in this event.
+pub fn served_discovery_caller(kind: &EventKind) -> Option<usize> {
+    match kind {
+        EventKind::DiscoveryCallEnded {
             limiter,
-            well: true,
+            succeeded: true,
         } => Some(*limiter),
         _ => None,
     }
--- a/crates/emberpin-testbed/tests/idempotency.rs
+++ b/crates/emberpin-testbed/tests/idempotency.rs
@@ -1,15 +1,15 @@
-//! Keys repeated over real sockets, judged by the referee: second runs are counted at the stand-in servers.
+//! Repeated idempotency keys over real sockets; the stand-in servers count repeated effects of a key.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
+use emberpin_testbed::invariants::Rule;
 use emberpin_testbed::process::Program;
-use emberpin_testbed::referee::Rule;
-use emberpin_testbed::report::{stories, Summary};
+use emberpin_testbed::report::{violation_histories, Summary};
 use emberpin_testbed::scenario::Scenario;
 use emberpin_testbed::site::{run, Outcome};
-use emberpin_testbed::trace::{ProcessEnd, What, SECOND};
+use emberpin_testbed::trace::{EventKind, ProcessEnd, SECOND};
 use std::path::PathBuf;
 
-/// Half of all keyed work is asked again up to 2.5 s later, a second beyond what any hall remembers.
+/// Half of all keyed work is repeated up to 2.5 s later, one second beyond the deduplication window of the servers.
 const LOAD: &str = "\
     [load]\nrate = 120\nwork = 0.2\nsubmit = 0.6\nusage = 0.3\nrepeat_keys = 0.5\nrepeat_after_ms = [0, 2500]\n\
     front_notice_s = 0.2\n[rules]\nkeys_once = true\n";
@@ -23,29 +23,29 @@
 }
 
 /// The real limiter with this operator file, or without one.
-struct Limiters {
+struct LimiterProgram {
     file: Option<PathBuf>,
-    /// Each has a log, and they have links.
-    together: bool,
+    /// Whether each limiter has a log, and links connect them.
+    logs_and_links: bool,
 }
 
-impl Limiters {
-    fn with(name: &str, table: &str) -> Limiters {
+impl LimiterProgram {
+    fn with_table(name: &str, table: &str) -> LimiterProgram {
         let path =
             std::env::temp_dir().join(format!("emberpin-keys-{}-{name}.toml", std::process::id()));
         std::fs::write(&path, format!("[idempotency]\n{table}\n")).expect("written");
-        Limiters {
+        LimiterProgram {
             file: Some(path),
-            together: false,
+            logs_and_links: false,
         }
     }
 
-    fn play(&self, scenario: &Scenario) -> Outcome {
+    fn run_site(&self, scenario: &Scenario) -> Outcome {
         let mut program = Program {
             path: env!("CARGO_BIN_EXE_emberpin-testbed").into(),
             arguments: vec!["limiter".into()],
-            logs: self.together,
-            links: self.together,
+            logs: self.logs_and_links,
+            links: self.logs_and_links,
         };
         if let Some(file) = &self.file {
             program.arguments.extend(["--with".into(), file.into()]);
@@ -54,7 +54,7 @@
     }
 }
 
-impl Drop for Limiters {
+impl Drop for LimiterProgram {
     fn drop(&mut self) {
         if let Some(file) = &self.file {
             _ = std::fs::remove_file(file);
@@ -63,44 +63,48 @@
 }
 
 #[track_caller]
-fn holds(outcome: &Outcome) {
+fn assert_rules_hold(outcome: &Outcome) {
     let seed = outcome.scenario.seed;
     assert!(
-        !outcome.judgement.is_broken(),
+        !outcome.verdict.has_violations(),
         "seed {seed}:{}",
-        stories(&outcome.judgement)
+        violation_histories(&outcome.verdict)
+    );
+    assert_eq!(
+        Summary::from_outcome(outcome).repeated_effects,
+        0,
+        "seed {seed}"
     );
-    assert_eq!(Summary::of(outcome).second_effects, 0, "seed {seed}");
 }
 
-/// What the other tests show means nothing unless this load signs twice where nothing is recognised.
+/// Checks the load itself: without idempotency it must repeat effects, or the other tests would show nothing.
 #[test]
-fn without_the_stage_this_load_signs_twice() {
-    let outcome = Limiters {
+fn without_idempotency_the_load_repeats_effects() {
+    let outcome = LimiterProgram {
         file: None,
-        together: false,
+        logs_and_links: false,
     }
-    .play(&scenario(1, 1, ""));
+    .run_site(&scenario(1, 1, ""));
     assert!(
-        outcome.judgement.on(Rule::Effects).broken > 10,
+        outcome.verdict.finding(Rule::Effects).violations > 10,
         "{:?}",
-        outcome.judgement.on(Rule::Effects).broken
+        outcome.verdict.finding(Rule::Effects).violations
     );
 }
 
 #[test]
-fn with_it_no_key_is_signed_twice_and_repeats_are_served() {
-    let limiters = Limiters::with("one", "retention_s = 20\nquiet_s = 0");
+fn idempotency_prevents_repeated_effects_and_serves_repeats() {
+    let limiters = LimiterProgram::with_table("one", "retention_s = 20\nquiet_s = 0");
     for seed in 1..=2 {
-        let outcome = limiters.play(&scenario(1, seed, ""));
-        holds(&outcome);
-        let summary = Summary::of(&outcome);
+        let outcome = limiters.run_site(&scenario(1, seed, ""));
+        assert_rules_hold(&outcome);
+        let summary = Summary::from_outcome(&outcome);
         let submits = &summary.classes[1];
         assert!(
             submits.in_time * 10 > submits.asked * 9,
             "seed {seed}: {submits:?}"
         );
-        // A repeat is answered by the stage: there are far fewer attempts than pieces of work.
+        // Repeats are answered by the idempotency stage, so that there are fewer attempts than pieces of work.
         assert!(
             summary.attempts * 10 < summary.total.asked * 9,
             "seed {seed}: {}",
@@ -109,11 +113,12 @@
     }
 }
 
-/// Firms move all their traffic between limiters in the middle of their bursts, while the limiters hear nothing of
-/// each other: the old place and the new are both alive.
+/// Customers move all their traffic between limiters in the middle of their bursts, while one limiter is cut off from
+/// the
+/// others: the old and the new limiter of a customer are both running.
 #[test]
-fn firms_that_hop_between_limiters_sign_nothing_twice() {
-    let hops: String = (1..8)
+fn customers_that_move_between_limiters_cause_no_repeated_effects() {
+    let moves: String = (1..8)
         .map(|n| {
             format!(
                 "[[fault]]\nat_s = {}\nwhat = \"firms-hop\"\nshare = 1.0\n",
@@ -121,13 +126,13 @@
             )
         })
         .collect();
-    let hops =
-        format!("{hops}[[fault]]\nat_s = 0\nwhat = \"peers-split\"\ngroup = [0]\nfor_s = 4\n");
-    let limiters = Limiters::with("hops", "retention_s = 20\nquiet_s = 0");
+    let moves =
+        format!("{moves}[[fault]]\nat_s = 0\nwhat = \"peers-split\"\ngroup = [0]\nfor_s = 4\n");
+    let limiters = LimiterProgram::with_table("hops", "retention_s = 20\nquiet_s = 0");
     for seed in 1..=2 {
-        let outcome = limiters.play(&scenario(3, seed, &hops));
-        holds(&outcome);
-        let submits = &Summary::of(&outcome).classes[1];
+        let outcome = limiters.run_site(&scenario(3, seed, &moves));
+        assert_rules_hold(&outcome);
+        let submits = &Summary::from_outcome(&outcome).classes[1];
         assert!(
             submits.in_time * 10 > submits.asked * 8,
             "seed {seed}: {submits:?}"
@@ -135,15 +140,15 @@
     }
 }
 
-/// Killed at any moment, it comes back knowing nothing and takes no new keyed work until every repeat that it could
-/// get wrong is past its time: here the whole retention.
+/// A limiter that is killed restarts without memory, and accepts no new keyed work until every repeat that it could
+/// handle wrongly has expired: here after the whole retention period.
 #[test]
-fn a_limiter_that_is_killed_and_forgets_signs_nothing_twice() {
+fn a_limiter_restarted_without_memory_causes_no_repeated_effects() {
     let kills = "[[fault]]\nat_s = 0.8\nwhat = \"limiter-killed\"\nlimiter = 0\nback_s = 0.1\n[[fault]]\nat_s = 1.9\n\
                  what = \"limiter-killed\"\nlimiter = 1\nback_s = 0.1\n";
-    let limiters = Limiters::with("kills", "retention_s = 3\nquiet_s = 3");
+    let limiters = LimiterProgram::with_table("kills", "retention_s = 3\nquiet_s = 3");
     for seed in 1..=2 {
-        // The quiet time after the very first start is over only at 3 s: longer than the others.
+        // The quiet period after the first start ends only at 3 s, so that this run is longer than the others.
         let mut scenario = scenario(
             2,
             seed,
@@ -152,13 +157,13 @@
                 .replace("at_s = 1.9", "at_s = 4.6"),
         );
         scenario.set_seconds(6.5).expect("in bounds");
-        let outcome = limiters.play(&scenario);
-        holds(&outcome);
+        let outcome = limiters.run_site(&scenario);
+        assert_rules_hold(&outcome);
         let killed = |e: &&emberpin_testbed::trace::Event| {
             matches!(
-                e.what,
-                What::LimiterDown {
-                    how: ProcessEnd::Killed,
+                e.kind,
+                EventKind::LimiterStopped {
+                    end: ProcessEnd::Killed,
                     ..
                 }
             )
@@ -170,34 +175,35 @@
             .filter(|e| e.at > 3 * SECOND && e.at < 4 * SECOND)
             .filter(|e| {
                 matches!(
-                    e.what,
-                    What::Ran {
-                        remembered: false,
+                    e.kind,
+                    EventKind::AttemptExecuted {
+                        deduplicated: false,
                         ..
                     }
                 )
             });
         assert!(
             served.count() > 10,
-            "keyed work was going on when they were killed"
+            "keyed work was running before they were killed"
         );
     }
 }
 
-/// With logs and links: killed, restarted, split and hopped away from, they sign nothing twice and serve nearly all.
+/// With logs and links, limiters that are killed, split and left by their customers repeat no effect and serve most
+/// work.
 #[test]
-fn limiters_that_remember_and_talk_serve_through_kills_hops_and_a_split() {
+fn limiters_with_logs_and_links_serve_through_kills_moves_and_a_split() {
     let faults = "[[fault]]\nat_s = 0.8\nwhat = \"limiter-killed\"\nlimiter = 0\nback_s = 0.3\n\
                   [[fault]]\nat_s = 1.6\nwhat = \"firms-hop\"\nshare = 1.0\n\
                   [[fault]]\nat_s = 2.0\nwhat = \"peers-split\"\ngroup = [1]\nfor_s = 0.8\n\
                   [[fault]]\nat_s = 2.9\nwhat = \"firms-hop\"\nshare = 1.0\n\
                   [[fault]]\nat_s = 3.2\nwhat = \"limiter-killed\"\nlimiter = 2\nback_s = 0.3\n";
-    let mut limiters = Limiters::with("together", "retention_s = 20");
-    limiters.together = true;
+    let mut limiters = LimiterProgram::with_table("together", "retention_s = 20");
+    limiters.logs_and_links = true;
     for seed in 1..=2 {
-        let outcome = limiters.play(&scenario(3, seed, faults));
-        holds(&outcome);
-        let submits = &Summary::of(&outcome).classes[1];
+        let outcome = limiters.run_site(&scenario(3, seed, faults));
+        assert_rules_hold(&outcome);
+        let submits = &Summary::from_outcome(&outcome).classes[1];
         assert!(
             submits.in_time * 10 > submits.asked * 8,
             "seed {seed}: {submits:?}"
