--- a/crates/emberpin-testbed/src/discovery.rs
+++ b/crates/emberpin-testbed/src/discovery.rs
@@ -37,6 +37,7 @@
 /// The endpoint list of one limiter's agent.
 struct Agent {
     address: SocketAddr,
+    /// The current version of the list.
     rev: Cell<u64>,
     /// When the last scheduled update arrives; later updates do not overtake it.
     last_due: Cell<Instant>,
@@ -53,6 +54,7 @@
     agents: Vec<Rc<Agent>>,
     silent: watch::Sender<bool>,
     dead: watch::Sender<bool>,
+    /// The active falsification of full lists, and the limiters that it applies to (all if `None`).
     list_fault: RefCell<Option<(EndpointListFault, Option<Vec<usize>>)>>,
     /// The subscriber to calls, if any.
     calls: RefCell<Option<mpsc::UnboundedSender<usize>>>,
@@ -125,7 +127,7 @@
         self.dead.send_replace(dead);
     }
 
-    /// Falsifies full lists for all or for some limiters; `None` ends the fault.
+    /// Falsifies full lists for the given limiters, or for all without them; `None` ends the fault.
     pub fn set_list_fault(&self, fault: Option<(EndpointListFault, Option<Vec<usize>>)>) {
         let previous = self.list_fault.replace(fault);
         if previous.is_some() && self.list_fault.borrow().is_none() {
@@ -254,8 +256,7 @@
     }
 
     /// The answer to a call: the changes after a version or the full list, falsified if a fault is active; `None` if
-    /// nothing
-    /// has changed.
+    /// nothing has changed.
     fn response_after(
         &self,
         limiter: usize,
@@ -292,7 +293,8 @@
         }
     }
 
-    /// Renders an update and records that the limiter was notified of its entries.
+    /// Renders an update of version `rev`, with whether it is a full list (`all`) and its entries, and records that
+    /// the limiter was notified of its entries.
     fn render_update(&self, limiter: usize, rev: u64, (all, entries): (bool, Vec<Entry>)) -> Value {
         for entry in &entries {
             let (incarnation, state) = (entry.incarnation, entry.state);
@@ -463,7 +465,7 @@
         self.update.notify_waiters();
     }
 
-    /// All entries that are not removed, as a full list.
+    /// The full list: `true` for full, and all entries that are not removed.
     fn full_list(&self) -> (bool, Vec<Entry>) {
         let listed = self.listed.borrow();
         let present = listed
--- a/crates/emberpin-testbed/src/invariants.rs
+++ b/crates/emberpin-testbed/src/invariants.rs
@@ -191,6 +191,7 @@
 /// The subject whose events make up a history.
 enum Subject {
     Request(RequestId),
+    /// A server incarnation and a limiter that sent to it.
     Server(Incarnation, usize),
     Customer(u32),
     Limiter(usize),
@@ -198,6 +199,7 @@
 
 type Violations = Vec<(DetectedViolation, Subject)>;
 
+/// One transmission of a request to a limiter.
 struct Send {
     at: Micros,
     limiter: usize,
@@ -212,7 +214,9 @@
     units: f64,
     time_limit: Micros,
     sends: Vec<Send>,
+    /// Complete responses: time, status, and whether the response is valid.
     responses: Vec<(Micros, u16, bool)>,
+    /// Lost connections: time, and whether part of a response had been received.
     connection_losses: Vec<(Micros, bool)>,
     timed_out_at: Option<Micros>,
     cancelled_at: Option<Micros>,
@@ -224,6 +228,7 @@
     incarnation: Incarnation,
     limiter: usize,
     started_at: Micros,
+    /// The complete receipt: time, request if the id is known, and work in core milliseconds.
     received: Option<(Micros, Option<RequestId>, f64)>,
     ended: Option<(Micros, AttemptEnd)>,
 }
@@ -260,8 +265,11 @@
     starts: Vec<(Micros, usize)>,
     /// States of each server incarnation that each limiter was notified of.
     notifications: HashMap<(usize, Incarnation), Vec<(Micros, ServerState)>>,
+    /// Unsolicited bytes: time, limiter, and the last request on the connection.
     stray: Vec<(Micros, usize, Option<RequestId>)>,
+    /// Repeated effects: time and attempt.
     repeated_effects: Vec<(Micros, AttemptId)>,
+    /// Periods during which the stand-ins ran late: start and end.
     delays: Vec<(Micros, Micros)>,
 }
 
@@ -953,8 +961,8 @@
         match &self.kind {
             EventKind::RequestSent { request, limiter, class, plan, customer, units, key, time_limit, reused, .. } => write!(
                 formatter,
-                "client asks limiter {limiter}: try {}, {}, {}, customer {customer}, {units} units, key {key}, \
-                 patience {:.3} s{}",
+                "client sends to limiter {limiter}: request {}, {}, {}, customer {customer}, {units} units, key {key}, \
+                 time limit {:.3} s{}",
                 request.0,
                 CLASSES[*class].name,
                 PLANS[*plan].name,
@@ -962,25 +970,25 @@
                 if *reused { "" } else { ", new connection" }
             ),
             EventKind::Responded { request, status, valid, retry_after } => {
-                write!(formatter, "client has {status} to try {}", request.0)?;
+                write!(formatter, "client receives {status} for request {}", request.0)?;
                 if !valid {
-                    write!(formatter, ", not made for it")?;
+                    write!(formatter, ", not made for this request")?;
                 }
-                retry_after.map_or(Ok(()), |wait| write!(formatter, ", come back after {:.3} s", seconds(wait)))
+                retry_after.map_or(Ok(()), |wait| write!(formatter, ", retry after {:.3} s", seconds(wait)))
             }
             EventKind::ConnectionLost { request, partial_response } => {
-                let part = if *partial_response { ", in the middle of its answer" } else { "" };
-                write!(formatter, "client's connection ended, try {}{part}", request.0)
+                let part = if *partial_response { ", in the middle of its response" } else { "" };
+                write!(formatter, "client's connection ended, request {}{part}", request.0)
             }
-            EventKind::RequestTimedOut { request } => write!(formatter, "client gives try {} up", request.0),
-            EventKind::RequestCancelled { request } => write!(formatter, "client leaves try {}", request.0),
-            EventKind::LimiterUnreachable { request, limiter } => write!(formatter, "limiter {limiter} not reached, try {}", request.0),
-            EventKind::StrayBytes { limiter, .. } => write!(formatter, "limiter {limiter} sends what nobody asked for"),
+            EventKind::RequestTimedOut { request } => write!(formatter, "client stops waiting for request {}", request.0),
+            EventKind::RequestCancelled { request } => write!(formatter, "client cancels request {}", request.0),
+            EventKind::LimiterUnreachable { request, limiter } => write!(formatter, "limiter {limiter} not reached, request {}", request.0),
+            EventKind::StrayBytes { limiter, .. } => write!(formatter, "limiter {limiter} sends unsolicited bytes"),
             EventKind::AttemptStarted { attempt, incarnation, limiter } => {
-                write!(formatter, "first byte of attempt {} from limiter {limiter} at server life {}", attempt.0, incarnation.0)
+                write!(formatter, "first byte of attempt {} from limiter {limiter} at server incarnation {}", attempt.0, incarnation.0)
             }
             EventKind::AttemptReceived { attempt, request, work } => {
-                let of = request.map_or("of no client's request".into(), |request| format!("of try {}", request.0));
+                let of = request.map_or("of no client's request".into(), |request| format!("of request {}", request.0));
                 write!(formatter, "last byte of attempt {} {of}, {work:.1} ms of work", attempt.0)
             }
             EventKind::AttemptExecuted { attempt, repeated_effect, deduplicated } => write!(
@@ -988,29 +996,29 @@
                 "attempt {} {}",
                 attempt.0,
                 match (deduplicated, repeated_effect) {
-                    (true, _) => "is remembered: nothing runs",
+                    (true, _) => "is a duplicate: nothing runs",
                     (false, true) => "runs, a second time for its key",
                     (false, false) => "runs",
                 }
             ),
             EventKind::AttemptEnded { attempt, end } => write!(formatter, "attempt {} ends: {end:?}", attempt.0),
             EventKind::ServerStarted { incarnation, server, cold_from, warm_after, .. } => {
-                write!(formatter, "server {server} up as life {}", incarnation.0)?;
+                write!(formatter, "server {server} started as incarnation {}", incarnation.0)?;
                 match warm_after {
                     0 => Ok(()),
                     after => write!(formatter, ", cold from {cold_from}, warm after {:.1} s", seconds(*after)),
                 }
             }
-            EventKind::ServerStopped { incarnation } => write!(formatter, "server life {} ends", incarnation.0),
+            EventKind::ServerStopped { incarnation } => write!(formatter, "server incarnation {} ends", incarnation.0),
             EventKind::LimiterNotified { limiter, incarnation, state } => {
-                write!(formatter, "limiter {limiter} is told that life {} is {state:?}", incarnation.0)
+                write!(formatter, "limiter {limiter} is notified that incarnation {} is {state:?}", incarnation.0)
             }
-            EventKind::DiscoveryCalled { limiter } => write!(formatter, "limiter {limiter} asks the list service"),
+            EventKind::DiscoveryCalled { limiter } => write!(formatter, "limiter {limiter} calls the discovery service"),
             EventKind::DiscoveryCallEnded { limiter, succeeded } => {
-                write!(formatter, "the list service {} limiter {limiter}", if *succeeded { "answers" } else { "fails" })
+                write!(formatter, "the discovery service {} limiter {limiter}", if *succeeded { "answers" } else { "fails" })
             }
             EventKind::ServerConnected { incarnation, limiter } => {
-                write!(formatter, "limiter {limiter} connects to server life {}", incarnation.0)
+                write!(formatter, "limiter {limiter} connects to server incarnation {}", incarnation.0)
             }
             EventKind::LimiterReady { limiter } => write!(formatter, "limiter {limiter} ready"),
             EventKind::SigtermSent { limiter } => write!(formatter, "SIGTERM to limiter {limiter}"),
--- a/crates/emberpin-testbed/src/process.rs
+++ b/crates/emberpin-testbed/src/process.rs
@@ -1,6 +1,5 @@
 //! Limiters as processes of their own: starts, watches, kills and measures them. Apart from signals, the testbed
-//! reaches
-//! a limiter through sockets only.
+//! reaches a limiter through sockets only.
 
 use crate::error::{LimiterError, LimiterFile};
 use crate::http::Wire;
@@ -286,7 +285,7 @@
         }
     }
 
-    /// Sends SIGTERM, and SIGKILL after [`SHUTDOWN_TIMEOUT`]; returns when the process has exited.
+    /// Sends SIGTERM, and SIGKILL after the shutdown time-out; returns when the process has exited.
     pub async fn shut_down(&self) {
         if self.pid.get().is_some() {
             self.expected_end.set(Some(ProcessEnd::Left));
--- a/crates/emberpin-testbed/src/scenario.rs
+++ b/crates/emberpin-testbed/src/scenario.rs
@@ -68,8 +68,7 @@
     #[serde(rename = "known")]
     pub preload_lists: bool,
     /// Whether all limiters reach a server at one address. This is required where limiters exchange endpoint lists;
-    /// links
-    /// to zones cannot be cut then.
+    /// links to zones cannot be cut then.
     pub one_address: bool,
     /// Group size in the limiters' settings; 0 for the actual number of limiters.
     #[serde(rename = "told_limiters")]
--- a/crates/emberpin-testbed/src/servers.rs
+++ b/crates/emberpin-testbed/src/servers.rs
@@ -58,6 +58,7 @@
 /// Usage by customer in the current metering period and the ones before it.
 #[derive(Default)]
 struct Meter {
+    /// For each customer, the last periods with any usage: period number and units.
     usage_by_customer: HashMap<u32, VecDeque<(u64, f64)>>,
     counted_requests: HashSet<RequestId>,
 }
@@ -191,6 +192,7 @@
     address_generation: watch::Sender<u32>,
     refusing: watch::Sender<bool>,
     stalled: watch::Sender<bool>,
+    /// The active response fault and the share of responses that it affects.
     response_fault: RefCell<Option<(ResponseFault, f64)>>,
     cores: Semaphore,
     waiting: Cell<usize>,
@@ -612,8 +614,7 @@
 
     /// Records the work and returns whether the server is overloaded while cold: whether the work received within
     /// [`OVERLOAD_WINDOW`], apart from its heaviest request, exceeds [`OVERLOAD_MULTIPLE`] times what the server can
-    /// do in that time. An
-    /// overloaded server crashes and stays down.
+    /// do in that time. An overloaded server crashes and stays down.
     fn overloads(&self, work: f64) -> bool {
         let now = self.world.recorder.now();
         if now > self.started_at + self.warm_after {
--- a/crates/emberpin-testbed/tests/common/site_slots.rs
+++ b/crates/emberpin-testbed/tests/common/site_slots.rs
@@ -1,8 +1,7 @@
 //! Limits how many sites the tests of one file run at the same time.
 //!
 //! Each site is several processes in real time. If all tests of a file ran at once, they would starve each other: a
-//! load
-//! that is not sent exceeds no ceiling, and a cold server without processor time sends no load report.
+//! load that is not sent exceeds no ceiling, and a cold server without processor time sends no load report.
 
 use std::sync::{Condvar, Mutex, PoisonError};
 
--- a/crates/emberpin-testbed/tests/idempotency.rs
+++ b/crates/emberpin-testbed/tests/idempotency.rs
@@ -113,9 +113,8 @@
     }
 }
 
-/// Customers move all their traffic between limiters in the middle of their bursts, while one limiter is cut off from
-/// the
-/// others: the old and the new limiter of a customer are both running.
+/// Customers move all their traffic between limiters in the middle of their bursts, while one limiter is cut off
+/// from the others: the old and the new limiter of a customer are both running.
 #[test]
 fn customers_that_move_between_limiters_cause_no_repeated_effects() {
     let moves: String = (1..8)
--- a/crates/emberpin-testbed/tests/referee.rs
+++ b/crates/emberpin-testbed/tests/referee.rs
@@ -779,11 +779,11 @@
         .history;
     assert_eq!(history.len(), 10, "{history:#?}");
     assert!(
-        history[0].contains("try 0, job-submit, mellan"),
+        history[0].contains("request 0, job-submit, mellan"),
         "{history:#?}"
     );
     assert!(
-        history.iter().all(|line| !line.contains("try 1,")),
+        history.iter().all(|line| !line.contains("request 1,")),
         "{history:#?}"
     );
 }
--- a/crates/emberpin-testbed/tests/start.rs
+++ b/crates/emberpin-testbed/tests/start.rs
@@ -52,8 +52,7 @@
 }
 
 /// Guards against limiters that send cold servers one request at a time until the first is warm, although the queues
-/// are
-/// empty and each server has two cores.
+/// are empty and each server has two cores.
 #[test]
 fn servers_that_are_all_cold_and_say_that_nothing_waits_are_asked_for_more() {
     let text =
--- a/crates/emberpin-testbed/tests/takeover.rs
+++ b/crates/emberpin-testbed/tests/takeover.rs
@@ -1,6 +1,5 @@
 //! Takeover of the keyed work of a lost limiter by its peers: limiters are killed, stopped or cut off, and the
-//! invariant
-//! checker counts repeated effects at the servers.
+//! invariant checker counts repeated effects at the servers.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
--- a/crates/emberpin-testbed/tests/told.rs
+++ b/crates/emberpin-testbed/tests/told.rs
@@ -244,9 +244,8 @@
     }
 }
 
-/// The service is dead for the first 5 s, then lists no server, then half of them, then all: few limiters call when it
-/// is
-/// back, and all get each list as soon as the service sends it.
+/// The service is dead for the first 5 s, then lists no server, then half of them, then all: few limiters call when
+/// it is back, and all get each list as soon as the service sends it.
 #[test]
 fn a_service_that_is_dead_at_the_start_and_comes_back_by_parts_is_asked_by_few() {
     let faults = "[[fault]]\nat_s = 0\nwhat = \"discovery-dead\"\nfor_s = 5\n\
