--- a/crates/emberpin-testbed/src/html_report.rs
+++ b/crates/emberpin-testbed/src/html_report.rs
@@ -23,7 +23,7 @@
 ///
 /// # Errors
 ///
-/// A plot that cannot be drawn, in one line.
+/// A one-line text if a plot cannot be drawn.
 pub fn page(outcome: &Outcome, summary: &Summary) -> Result<String, String> {
     let scenario = &outcome.scenario;
     let faults: Vec<(f64, String)> = outcome
--- a/crates/emberpin-testbed/src/invariants.rs
+++ b/crates/emberpin-testbed/src/invariants.rs
@@ -914,7 +914,7 @@
 }
 
 impl IncarnationRecord {
-    /// Core milliseconds that it can do between two moments, both before it is warm.
+    /// Work in core milliseconds that the server can do between two times, both before it is warm.
     fn achievable_work(&self, from: Micros, to: Micros) -> f64 {
         let share = |at: Micros| {
             let part = at.saturating_sub(self.started_at) as f64 / self.warm_after as f64;
--- a/crates/emberpin-testbed/src/peer_links.rs
+++ b/crates/emberpin-testbed/src/peer_links.rs
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     ///
-    /// The operating system's.
+    /// The operating system's error.
     pub async fn start(world: &World, limiters: usize) -> std::io::Result<PeerLinks> {
         let listen: Vec<SocketAddr> = (0..limiters)
             .map(|_| world.address())
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// The operating system's.
+    /// The operating system's error.
     pub fn write_operator_file(
         &self,
         folder: &Path,
--- a/crates/emberpin-testbed/src/scenario.rs
+++ b/crates/emberpin-testbed/src/scenario.rs
@@ -568,7 +568,7 @@
     ///
     /// # Errors
     ///
-    /// A length out of bounds, with the bounds.
+    /// [`Problem::OutOfBounds`] if the length is out of bounds.
     pub fn set_seconds(&mut self, seconds: f64) -> Result<(), Problem> {
         number("seconds", seconds, MIN_SECONDS, MAX_SECONDS)?;
         self.length = micros(seconds);
@@ -579,7 +579,7 @@
     ///
     /// # Errors
     ///
-    /// Those of [`Scenario::read`].
+    /// The errors of [`Scenario::read`], except that of an unreadable file.
     pub fn parse(file: &str, text: &str) -> Result<Scenario, ScenarioError> {
         let raw: File = toml::from_str(text).map_err(|error| {
             ScenarioError::Syntax(emberpin_limiter::operate::operator::place(
--- a/crates/emberpin-testbed/src/servers.rs
+++ b/crates/emberpin-testbed/src/servers.rs
@@ -285,7 +285,7 @@
     ///
     /// # Errors
     ///
-    /// An address that cannot be listened on.
+    /// An address cannot be listened on.
     pub async fn start(&self, cold: bool) -> std::io::Result<()> {
         let world = &self.world;
         let site = &world.scenario.site;
--- a/crates/emberpin-testbed/src/site.rs
+++ b/crates/emberpin-testbed/src/site.rs
@@ -257,7 +257,8 @@
 }
 
 impl RunningSite {
-    /// Stands everything up; nothing is asked yet.
+    /// Starts all parts of the site without any load. If all limiters start together with the load, servers and
+    /// limiters are left to the caller.
     async fn start(
         scenario: Scenario,
         program: Program,
--- a/crates/emberpin-testbed/src/trace.rs
+++ b/crates/emberpin-testbed/src/trace.rs
@@ -105,7 +105,7 @@
         /// The request's id, chosen by the client.
         #[serde(rename = "what")]
         request: RequestId,
-        /// The HTTP status of the answer.
+        /// The HTTP status of the response.
         status: u16,
         /// `false` for a 200 whose body no server made for this request; `true` for every other response.
         #[serde(rename = "sound")]
@@ -293,7 +293,7 @@
 /// One event and its time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Event {
-    /// When it happened, since the run began.
+    /// Time since the start of the run.
     pub at: Micros,
     /// What happened.
     #[serde(rename = "what")]
