--- a/crates/emberpin-ctl/src/checks.rs
+++ b/crates/emberpin-ctl/src/checks.rs
@@ -1,4 +1,4 @@
-//! The checks of `doctor`: each finds one kind of fault in what the registries reported. Nothing here does I/O.
+//! The checks of `doctor`: each finds one kind of problem in the reports of the registries. Nothing here does I/O.
 
 use crate::fleet::FleetReport;
 use crate::locks::HeldLock;
@@ -6,18 +6,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The largest difference between two clocks that is not reported.
+/// The maximum difference between two clocks that is not reported.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(1);
-/// The state of a disk that takes every write.
+/// The state that a store reports for a disk that accepts writes.
 const WRITABLE: &str = "writable";
-/// A disk that is used to more than this share, in per cent, is reported.
+/// Disk usage above this percentage is reported.
 const MAX_DISK_USAGE_PERCENT: u64 = 80;
-/// A lock whose last renewal is older than twice its hold and this counts as stuck: other callers had the time to come.
+/// A lock counts as stuck once its last renewal is older than twice its lease plus this margin, in which other callers
+/// have had time to acquire it.
 const STUCK_LOCK_MARGIN: Duration = Duration::from_secs(30);
-/// The smallest number of voters of which one may be lost.
+/// The minimum number of voters that tolerates the loss of one.
 const MIN_VOTERS: usize = 3;
 
-/// A fault, and what to do about it.
+/// A problem and its remedy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// What is wrong, and where.
@@ -35,7 +36,7 @@
     }
 }
 
-/// The findings of every check, the most severe checks first.
+/// Runs all checks, the most severe ones first, and returns their findings in that order.
 pub fn check_all(fleet: &FleetReport) -> Vec<Finding> {
     let checks = [
         unreachable_registries,
@@ -58,7 +59,7 @@
     fleet.reachable().flat_map(|(_, status)| &status.instances)
 }
 
-/// Registries that reported no status.
+/// Reports registries that did not report their status.
 pub fn unreachable_registries(fleet: &FleetReport) -> Vec<Finding> {
     let remedy =
         "see whether its process runs and its link is up, and start it again; if the machine is \
@@ -73,7 +74,7 @@
     findings
 }
 
-/// Registries without contact to their store or to a majority.
+/// Reports registries without contact to their store or to a majority of the registries.
 pub fn unsettled_registries(fleet: &FleetReport) -> Vec<Finding> {
     let remedy =
         "see whether more than half of the voters run and reach each other; it settles by itself \
@@ -90,7 +91,7 @@
         .collect()
 }
 
-/// Registries that name different voters.
+/// Reports a disagreement of the registries on the set of voters.
 pub fn voter_disagreement(fleet: &FleetReport) -> Vec<Finding> {
     let mut rosters = BTreeMap::<&[String], Vec<&str>>::new();
     for (report, status) in fleet.reachable() {
@@ -116,7 +117,7 @@
     vec![Finding::new(problem, remedy)]
 }
 
-/// Numbers of voters that are too small, or even.
+/// Reports rosters with fewer than `MIN_VOTERS` voters or an even number of them.
 pub fn voter_count(fleet: &FleetReport) -> Vec<Finding> {
     let rosters: BTreeSet<&[String]> = fleet
         .reachable()
@@ -125,8 +126,8 @@
     rosters
         .iter()
         .filter_map(|roster| match roster.len() {
-            few if few < MIN_VOTERS => Some(Finding::new(
-                format!("{few} voters: none of them can be lost"),
+            too_few if too_few < MIN_VOTERS => Some(Finding::new(
+                format!("{too_few} voters: none of them can be lost"),
                 "add machines that may vote, up to three at least",
             )),
             even if even % 2 == 0 => Some(Finding::new(
@@ -138,7 +139,7 @@
         .collect()
 }
 
-/// Zones with servers of which no proxy has a session.
+/// Reports zones that have servers but no proxy with a session at a registry.
 pub fn zones_without_proxy(fleet: &FleetReport) -> Vec<Finding> {
     let proxies = fleet
         .reachable()
@@ -156,7 +157,7 @@
         .collect()
 }
 
-/// Services of the configuration without a server that is up.
+/// Reports services of the configuration that have no server with status `up`.
 pub fn services_without_server(fleet: &FleetReport) -> Vec<Finding> {
     let services = match &fleet.services {
         Ok(services) => services,
@@ -178,7 +179,7 @@
         .collect()
 }
 
-/// Instances that one registry knows, and no other one that reported its status.
+/// Reports instances that are known to only one of the reachable registries.
 pub fn instances_known_to_one_registry(fleet: &FleetReport) -> Vec<Finding> {
     if fleet.reachable().count() < 2 {
         return Vec::new();
@@ -206,17 +207,22 @@
     findings
 }
 
-/// The two registries whose clocks are furthest apart, if that is too far.
+/// Reports the two registries whose clocks are furthest apart, if they differ by more than `MAX_CLOCK_SKEW`.
 ///
-/// Each clock is compared with this machine's own at the time of the response, as the registries did not respond at
-/// the same moment.
+/// The registries do not respond at the same moment, so each clock is compared with the clock of this machine at the time
+/// of the response.
 pub fn clock_skew(fleet: &FleetReport) -> Vec<Finding> {
-    let ahead = |status: &Status, received_at: Duration| {
-        milliseconds(status.clock).saturating_sub(milliseconds(received_at))
+    let clock_offset = |status: &Status, received_at: Duration| {
+        saturating_millis(status.clock).saturating_sub(saturating_millis(received_at))
     };
     let mut clocks: Vec<(i64, &str)> = fleet
         .reachable()
-        .map(|(report, status)| (ahead(status, report.received_at), report.address.as_str()))
+        .map(|(report, status)| {
+            (
+                clock_offset(status, report.received_at),
+                report.address.as_str(),
+            )
+        })
         .collect();
     clocks.sort_unstable();
     let (Some((slowest, slowest_registry)), Some((fastest, fastest_registry))) =
@@ -225,7 +231,7 @@
         return Vec::new();
     };
     let skew = fastest.saturating_sub(*slowest);
-    if skew <= milliseconds(MAX_CLOCK_SKEW) {
+    if skew <= saturating_millis(MAX_CLOCK_SKEW) {
         return Vec::new();
     }
     let problem = format!(
@@ -236,19 +242,19 @@
     vec![Finding::new(problem, remedy)]
 }
 
-/// A time in whole milliseconds; the longest that fits, if it is longer.
-fn milliseconds(time: Duration) -> i64 {
+/// Converts a duration to whole milliseconds, saturating at `i64::MAX`.
+fn saturating_millis(time: Duration) -> i64 {
     i64::try_from(time.as_millis()).unwrap_or(i64::MAX)
 }
 
-/// Disks that are nearly full.
+/// Reports disks whose usage exceeds `MAX_DISK_USAGE_PERCENT`.
 pub fn disk_usage(fleet: &FleetReport) -> Vec<Finding> {
     let remedy = "see what else writes to its data directory, or give it a larger disk";
     let mut findings = Vec::new();
     for (report, status) in fleet.reachable() {
         let Some(disk) = &status.disk else { continue };
         let (used, limit) = (disk.used_bytes, disk.limit_bytes);
-        // In 128 bits, as a hundred times a disk may not fit in 64.
+        // In 128 bits, because a hundred times the disk size can overflow 64 bits.
         if u128::from(used) * 100 > u128::from(limit) * u128::from(MAX_DISK_USAGE_PERCENT) {
             let problem = format!(
                 "registry {} has used {used} of the {limit} bytes of its disk",
@@ -260,7 +266,7 @@
     findings
 }
 
-/// Disks of stores that take no changes.
+/// Reports stores whose disk does not accept writes.
 pub fn disks_without_writes(fleet: &FleetReport) -> Vec<Finding> {
     let remedy = "make room on it, or see why it does not answer; the store then goes on by itself";
     let mut findings = Vec::new();
@@ -277,7 +283,8 @@
     findings
 }
 
-/// Locks, numbers and cells that no majority of the stores confirms.
+/// Reports that the locks could not be read, which means that no majority of the stores confirms locks, numbers and
+/// cells.
 pub fn unreadable_registers(fleet: &FleetReport) -> Vec<Finding> {
     let Err(error) = &fleet.locks else {
         return Vec::new();
@@ -288,7 +295,7 @@
     vec![Finding::new(problem, remedy)]
 }
 
-/// Locks that were neither renewed nor released long after their hold.
+/// Reports locks that were neither renewed nor released long after their lease expired.
 pub fn stuck_locks(fleet: &FleetReport) -> Vec<Finding> {
     let Ok(Some(locks)) = &fleet.locks else {
         return Vec::new();
@@ -297,11 +304,11 @@
         "its owner died or hangs, and the next caller gets the lock; if callers get 409 all the \
          same, make sure that the owner acts no longer, and use lock release";
     let is_stuck = |lock: &&HeldLock| {
-        let patience = lock
-            .hold
+        let stuck_after = lock
+            .lease
             .saturating_mul(2)
             .saturating_add(STUCK_LOCK_MARGIN);
-        lock.known_for > patience
+        lock.min_renewal_age > stuck_after
     };
     let stuck = locks.iter().filter(is_stuck);
     stuck
--- a/crates/emberpin-ctl/src/client.rs
+++ b/crates/emberpin-ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls of the registries' HTTP API, with failover from one registry to the next.
+//! A client of the registries' HTTP API, with redirects, retries and failover from one registry to the next.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -12,20 +12,20 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A registry that has not responded by then is passed over; large bodies get more time.
+/// The time-out of one request to one registry. Requests with large bodies get more time: `RESPONSE_TIMEOUT_PER_MIB`.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The additional time for each whole MiB of a body.
+/// The additional time-out for each whole MiB of a request body.
 const RESPONSE_TIMEOUT_PER_MIB: Duration = Duration::from_secs(1);
-/// No further attempt begins after this time, as a change may be repeated only for a limited time.
+/// No attempt begins later than this after the start of a call, because a change may be repeated only for a limited time.
 pub const RETRY_WINDOW: Duration = Duration::from_secs(5);
-/// The delay before the second attempt; it doubles with each attempt, up to the longest.
+/// The delay before the second attempt; it doubles with each attempt, up to `MAX_BACKOFF`.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// How many redirects of one attempt are followed.
+/// The maximum number of redirects that one attempt follows.
 const MAX_REDIRECTS: usize = 2;
-/// The largest response body that is read.
+/// The maximum size of a response body.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
-/// How many responses of an unexpected 4xx status it takes until the call counts as rejected.
+/// A call counts as rejected after this many responses with an unexpected 4xx status.
 const MAX_UNEXPECTED_REJECTIONS: usize = 3;
 
 /// A request to the HTTP API of a registry.
@@ -37,7 +37,7 @@
 }
 
 impl Request {
-    /// A request that reads something.
+    /// A `GET` request without a body.
     pub fn get(path: &str) -> Request {
         Request {
             method: Method::GET,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A request that changes something; an empty body is sent as none.
+    /// A `POST` request with a JSON body; an empty body is sent without a content type.
     pub fn post(path: &str, body: String) -> Request {
         Request {
             method: Method::POST,
@@ -68,7 +68,7 @@
     pub status: u16,
     /// The body as text.
     pub body: String,
-    /// Where a 307 redirects to.
+    /// The `Location` header of a 307 response.
     pub redirect: Option<String>,
 }
 
@@ -77,31 +77,31 @@
         (200..300).contains(&self.status)
     }
 
-    /// A 4xx that no other registry would answer otherwise: the request itself is at fault.
+    /// Whether the status is a 4xx that every registry would return, because the request itself is at fault.
     fn is_rejection(&self) -> bool {
         matches!(self.status, 400 | 409 | 412 | 413 | 422)
     }
 
-    /// Whether the same request may succeed later or elsewhere.
+    /// Whether the same request can succeed later or at another registry.
     fn is_retryable(&self) -> bool {
         !(400..500).contains(&self.status) || matches!(self.status, 408 | 429)
     }
 }
 
-/// Why a call failed at all addresses.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// A registry rejected the request; it is not in force.
+    /// A registry rejected the request; the change is not in force.
     #[error("{address} refuses: {status} {body}")]
     Rejected {
         /// The address of the registry.
         address: String,
         /// The HTTP status.
         status: u16,
-        /// The reason it gave.
+        /// The response body, which gives the reason.
         body: String,
     },
-    /// No registry gave a clear response in time; a change may be in force or not.
+    /// No registry acknowledged or rejected the request within [`RETRY_WINDOW`]; a change may be in force or not.
     #[error("no clear answer; an order may be in force or not. Last: {address}: {source}")]
     NoClearResponse {
         /// The address of the last attempt.
@@ -109,7 +109,7 @@
         /// How that attempt failed.
         source: AttemptError,
     },
-    /// There was no address to call.
+    /// The list of addresses is empty.
     #[error("no clear answer; an order may be in force or not. Last: there is no address to ask")]
     NoAddress,
 }
@@ -117,18 +117,18 @@
 /// Why one attempt of a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum AttemptError {
-    /// The registry responded with a status that may pass.
+    /// The registry responded with a status that does not decide the call.
     #[error("status {status} {body}")]
     Status {
         /// The HTTP status.
         status: u16,
-        /// The reason it gave.
+        /// The response body, which gives the reason.
         body: String,
     },
-    /// There was no response within this time.
+    /// There was no complete response within this time.
     #[error("silent for {0:?}")]
     TimedOut(Duration),
-    /// The registry redirected to something that is no URI.
+    /// The `Location` header of a redirect is not a URI.
     #[error("points to {0}, which is no place")]
     InvalidRedirect(String),
     /// The connection failed.
@@ -137,10 +137,10 @@
     /// The HTTP exchange failed.
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    /// The request cannot be sent as HTTP, as when a redirect's path is none.
+    /// The request is not valid HTTP, for example because of an invalid path in a redirect.
     #[error(transparent)]
     InvalidRequest(#[from] hyper::http::Error),
-    /// The response body is too long, or broke off.
+    /// The response body exceeds `MAX_RESPONSE_BYTES`, or its transfer failed.
     #[error("{0}")]
     ResponseBody(#[source] Box<dyn Error + Send + Sync>),
     /// The response body is not UTF-8.
@@ -148,14 +148,18 @@
     NotUtf8(#[from] FromUtf8Error),
 }
 
-/// Calls one address after the other until there is a clear response, and returns the body of a 2xx.
+/// Calls one address after the other until a registry acknowledges (2xx) or rejects the request. Returns the body of the
+/// 2xx response.
 ///
-/// The same request is sent again, after a growing delay, if an attempt fails, or ends with a 5xx, a 408 or a 429.
+/// If an attempt fails, or ends with any other status, the same request is sent to the next address after an exponential
+/// backoff.
 ///
 /// # Errors
 ///
-/// [`CallError::Rejected`] for a 400, 409, 412, 413 or 422, and for the third response with any other 4xx;
-/// [`CallError::NoClearResponse`] if there was neither that nor a 2xx within [`RETRY_WINDOW`].
+/// [`CallError::Rejected`] for a 400, 409, 412, 413 or 422, and for the third response with any other 4xx
+/// except 408 and 429;
+/// [`CallError::NoClearResponse`] if there was neither a rejection nor a 2xx within [`RETRY_WINDOW`];
+/// [`CallError::NoAddress`] if there are no addresses.
 pub async fn call(addresses: &[String], request: &Request) -> Result<String, CallError> {
     let started_at = Instant::now();
     let mut backoff = INITIAL_BACKOFF;
@@ -192,7 +196,7 @@
     Err(CallError::NoAddress)
 }
 
-/// One attempt at an address, following its redirects.
+/// Sends a request to an address and follows its redirects.
 async fn attempt(address: &str, request: &Request) -> Result<Response, AttemptError> {
     let (mut address, mut request) = (address.to_owned(), request.clone());
     let mut redirects = 0;
@@ -200,7 +204,7 @@
         let response = send(&address, &request).await?;
         match &response.redirect {
             Some(location) if redirects < MAX_REDIRECTS => {
-                redirect(&mut address, &mut request, location)?;
+                apply_redirect(&mut address, &mut request, location)?;
                 redirects += 1;
             }
             _ => return Ok(response),
@@ -208,8 +212,8 @@
     }
 }
 
-/// Changes address and path to those of a redirect's location.
-fn redirect(
+/// Sets the address and the path to those of a redirect's location.
+fn apply_redirect(
     address: &mut String,
     request: &mut Request,
     location: &str,
@@ -226,23 +230,23 @@
     Ok(())
 }
 
-/// Sends a request to one address; redirects are not followed.
+/// Sends a request to one address without following redirects.
 ///
 /// # Errors
 ///
-/// [`AttemptError`] if there is no complete response in time. Any status is a response.
+/// [`AttemptError`] if there is no complete response in time. A response with any status is a success here.
 pub async fn send(address: &str, request: &Request) -> Result<Response, AttemptError> {
-    let limit = request.response_timeout();
-    timeout(limit, exchange(address, request))
+    let time_limit = request.response_timeout();
+    timeout(time_limit, exchange(address, request))
         .await
-        .map_err(|_| AttemptError::TimedOut(limit))?
+        .map_err(|_| AttemptError::TimedOut(time_limit))?
 }
 
 async fn exchange(address: &str, request: &Request) -> Result<Response, AttemptError> {
     let stream = TcpStream::connect(address).await?;
     let (mut sender, connection) =
         hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
-    // Ends by itself, with the exchange.
+    // The connection task ends when the sender is dropped.
     tokio::spawn(connection);
     let mut http_request = hyper::Request::builder()
         .method(&request.method)
--- a/crates/emberpin-ctl/src/command_line.rs
+++ b/crates/emberpin-ctl/src/command_line.rs
@@ -1,9 +1,9 @@
-//! The arguments of the program.
+//! Parses the command-line arguments of the program.
 
 use emberpin_config::ItemKind;
 use getopts::{Fail, Options};
 
-/// How the program is called.
+/// The usage text that `--help` and a [`UsageError`] print.
 pub const USAGE: &str = "\
 emberpinctl --at HOST:PORT[,HOST:PORT...] COMMAND
 
@@ -23,26 +23,26 @@
 
 Ends with 0 when all is well, 1 when it was refused, failed or something ails, 2 for a wrong call.";
 
-/// The longest name of a lock, a number or a cell.
+/// The maximum length of the name of a lock, a number or a cell.
 const MAX_NAME_BYTES: usize = 128;
 
-/// What to do.
+/// A command of the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Print the usage.
     Help,
-    /// Print the newest configuration.
+    /// Print the newest configuration as JSON.
     Get,
     /// Send a patch of the configuration.
     Patch {
-        /// The file with its body.
+        /// The file that contains the body of the patch.
         file: String,
-        /// Only validate it.
+        /// Whether the patch is only validated and not sent.
         dry_run: bool,
     },
-    /// Drop an item of the configuration.
+    /// Remove an item from the configuration.
     Drop {
-        /// A route or a service.
+        /// The kind of the item: a route or a service.
         kind: ItemKind,
         /// The name of the item.
         name: String,
@@ -57,11 +57,11 @@
     ListLocks,
     /// Print who holds a lock.
     ShowLock(String),
-    /// Release a lock in the place of its owner.
+    /// Release a lock on behalf of its owner.
     ReleaseLock(String),
-    /// Print a cell.
+    /// Print the value and the revision of a cell.
     GetCell(String),
-    /// Take a number, which no application gets then.
+    /// Take the next number of a name; no application receives the same number.
     NextNumber(String),
     /// Print the registries, proxies and servers.
     Members,
@@ -69,31 +69,31 @@
     Doctor,
 }
 
-/// The arguments of the program.
+/// The parsed arguments of the program.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommandLine {
-    /// The addresses of registries to call, in this order.
+    /// The addresses of the registries, in the order in which they are called.
     pub addresses: Vec<String>,
-    /// What to do.
+    /// The command to run.
     pub command: Command,
 }
 
-/// Why arguments are invalid.
+/// Why the arguments are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UsageError {
-    /// An option is unknown, or lacks its value.
+    /// An option is unknown or lacks its value.
     #[error(transparent)]
     Option(#[from] Fail),
-    /// The words beside the options are no command.
+    /// The positional arguments are not a command.
     #[error("not a command: {0}")]
     UnknownCommand(String),
-    /// `--dry-run` with another command than `patch`.
+    /// `--dry-run` was given with a command other than `patch`.
     #[error("only patch has a --dry-run")]
     DryRunWithoutPatch,
-    /// One of the addresses is not `HOST:PORT`.
+    /// An address of `--at` is not `HOST:PORT`.
     #[error("not an address: {0}")]
     InvalidAddress(String),
-    /// The command needs addresses to call.
+    /// The command calls registries, but `--at` is missing.
     #[error("--at is missing")]
     MissingAddresses,
 }
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     ///
-    /// [`UsageError`] names the first argument that is invalid.
+    /// [`UsageError`] for the first invalid argument.
     pub fn parse(arguments: impl IntoIterator<Item = String>) -> Result<CommandLine, UsageError> {
         let mut options = Options::new();
         options
@@ -165,7 +165,7 @@
     }
 }
 
-/// The addresses of `--at`; none if it is missing.
+/// Parses the value of `--at`; a missing option gives no addresses.
 fn parse_addresses(list: Option<String>) -> Result<Vec<String>, UsageError> {
     let Some(list) = list else {
         return Ok(Vec::new());
@@ -177,7 +177,8 @@
     }
 }
 
-/// Whether a zone may become part of a path: it must hold nothing that has a meaning there.
+/// Whether a zone can be inserted into a URL path unescaped: it has no characters that are special in a path, and is not
+/// a dot segment.
 fn is_zone(zone: &str) -> bool {
     !zone.is_empty()
         && zone
@@ -186,8 +187,8 @@
         && !matches!(zone, "." | "..")
 }
 
-/// Whether applications can use a name. What has a meaning in a path is escaped, but for the segments that stand for
-/// folders.
+/// Whether a lock, a number or a cell can have this name. Special characters are escaped in the URL path; the dot
+/// segments `.` and `..` cannot be escaped and are rejected.
 fn is_name(name: &str) -> bool {
     (1..=MAX_NAME_BYTES).contains(&name.len()) && !matches!(name, "." | "..")
 }
--- a/crates/emberpin-ctl/src/lib.rs
+++ b/crates/emberpin-ctl/src/lib.rs
@@ -1,8 +1,8 @@
 //! The operator's command line: reads and changes the configuration, evacuates zones, and diagnoses a fleet.
 //!
-//! [`command_line`] parses the arguments and [`run`] carries the command out: through [`client`], which calls the
-//! registries' HTTP API, and [`fleet`], which collects the [`status`] of every registry for [`members`] and for the
-//! [`checks`] of `doctor`. [`locks`] has those that applications hold.
+//! [`command_line`] parses the arguments and [`run`] executes the command. Commands call the registries' HTTP API
+//! through [`client`]. [`fleet`] collects the [`status`] of every registry, which [`members`] prints and the [`checks`]
+//! of `doctor` examine. [`locks`] lists and releases the locks that applications hold.
 #![forbid(unsafe_code)]
 
 pub mod checks;
--- a/crates/emberpin-ctl/src/locks.rs
+++ b/crates/emberpin-ctl/src/locks.rs
@@ -1,73 +1,73 @@
-//! The locks that applications hold, parsed from the JSON of `GET /locks`, and how one is released by hand.
+//! Lists the locks that applications hold (`GET /locks`), and releases one on behalf of its owner.
 
 use crate::client::{call, CallError, Request};
-use crate::status::{list, milliseconds, number, text, InvalidStatus};
+use crate::status::{duration_field, list_field, string_field, u64_field, InvalidStatus};
 use jzon::{object, JsonValue};
 use std::fmt;
 use std::fmt::Write;
 use std::time::Duration;
 
-/// A list that is longer than this many responses is cut off: a registry that names no end must not keep the doctor.
+/// The list is truncated after this many pages, so that a registry that never ends it does not block `doctor`.
 const MAX_PAGES: usize = 256;
-/// The status of a registry at which applications cannot hold locks.
-const NO_SUCH_CALL: u16 = 404;
+/// The HTTP status of a registry in a deployment that does not offer locks.
+const LOCKS_UNSUPPORTED_STATUS: u16 = 404;
 
-/// A lock that somebody holds, or held last without releasing it.
+/// A lock with its current holder, or its last one if the lease has expired without a release.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldLock {
     /// The lock's name.
     pub name: String,
-    /// Who holds it.
+    /// The holder of the lock.
     pub owner: String,
     /// The holder's fencing token.
-    pub fence: u64,
-    /// How long the hold lasts from its last renewal on.
-    pub hold: Duration,
-    /// For how long the leading store has known the last renewal: a lower bound of its age.
-    pub known_for: Duration,
+    pub fencing_token: u64,
+    /// The duration of the lease, counted from its last renewal.
+    pub lease: Duration,
+    /// How long the leading store has known the last renewal: a lower bound of the renewal's age.
+    pub min_renewal_age: Duration,
 }
 
-/// Why it is not known which locks are held.
+/// Why the held locks could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum LocksError {
-    /// No registry told it.
+    /// No registry returned the list.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// What a registry told is no list of locks.
+    /// The response of a registry is not a list of locks.
     #[error("not a list of locks: {0}")]
     Invalid(#[from] InvalidStatus),
 }
 
 impl LocksError {
-    /// Whether the registries have no such call: applications cannot hold locks in this deployment.
-    pub fn is_switched_off(&self) -> bool {
+    /// Whether the registries do not serve `/locks`, because the deployment does not offer locks.
+    pub fn is_unsupported(&self) -> bool {
         matches!(
             self,
             LocksError::Call(CallError::Rejected {
-                status: NO_SUCH_CALL,
+                status: LOCKS_UNSUPPORTED_STATUS,
                 ..
             })
         )
     }
 }
 
-/// One response of a registry.
+/// One page of the list of locks.
 struct Page {
     locks: Vec<HeldLock>,
-    /// The name after which the list goes on.
+    /// The name after which the next page begins; `None` on the last page.
     next_after: Option<String>,
 }
 
-/// All locks that are held, in the order of their names.
+/// Reads all held locks, in the order of their names.
 ///
 /// # Errors
 ///
-/// [`LocksError`] if no registry tells them.
-pub async fn held_locks(addresses: &[String]) -> Result<Vec<HeldLock>, LocksError> {
+/// [`LocksError`] if no registry returns a valid list.
+pub async fn fetch_held_locks(addresses: &[String]) -> Result<Vec<HeldLock>, LocksError> {
     let mut locks = Vec::new();
     let mut path = "/locks".to_owned();
     for _ in 0..MAX_PAGES {
-        let page = parse(&call(addresses, &Request::get(&path)).await?)?;
+        let page = parse_page(&call(addresses, &Request::get(&path)).await?)?;
         locks.extend(page.locks);
         let Some(after) = page.next_after else { break };
         path = format!("/locks?after={}", percent_encode(&after));
@@ -75,33 +75,33 @@
     Ok(locks)
 }
 
-/// Releases a lock, if it is still held as it was listed. A later hold stays.
+/// Releases a lock if it still has the listed owner and fencing token. A lease that was granted later is not affected.
 ///
 /// # Errors
 ///
 /// [`CallError`] if no registry acknowledges it.
 pub async fn release(addresses: &[String], lock: &HeldLock) -> Result<(), CallError> {
     let path = format!("/locks/{}/finish", percent_encode(&lock.name));
-    let body = object! { owner: lock.owner.as_str(), fence: lock.fence };
+    let body = object! { owner: lock.owner.as_str(), fence: lock.fencing_token };
     call(addresses, &Request::post(&path, body.dump())).await?;
     Ok(())
 }
 
-fn parse(json: &str) -> Result<Page, InvalidStatus> {
+fn parse_page(json: &str) -> Result<Page, InvalidStatus> {
     let value = jzon::parse(json)?;
     Ok(Page {
-        locks: list(&value, "locks", parse_lock)?,
+        locks: list_field(&value, "locks", parse_lock)?,
         next_after: value["next_after"].as_str().map(str::to_owned),
     })
 }
 
 fn parse_lock(value: &JsonValue) -> Result<HeldLock, InvalidStatus> {
     Ok(HeldLock {
-        name: text(value, "name")?,
-        owner: text(value, "owner")?,
-        fence: number(value, "fence")?,
-        hold: milliseconds(value, "hold_ms")?,
-        known_for: milliseconds(value, "known_for_ms")?,
+        name: string_field(value, "name")?,
+        owner: string_field(value, "owner")?,
+        fencing_token: u64_field(value, "fence")?,
+        lease: duration_field(value, "hold_ms")?,
+        min_renewal_age: duration_field(value, "known_for_ms")?,
     })
 }
 
@@ -110,20 +110,20 @@
         let HeldLock {
             name,
             owner,
-            fence,
-            hold,
-            known_for,
+            fencing_token,
+            lease,
+            min_renewal_age,
         } = self;
         write!(
             f,
-            "lock {name}: held by {owner} with fence {fence} for {} ms, renewed {} ms ago at least",
-            hold.as_millis(),
-            known_for.as_millis()
+            "lock {name}: held by {owner} with fence {fencing_token} for {} ms, renewed {} ms ago at least",
+            lease.as_millis(),
+            min_renewal_age.as_millis()
         )
     }
 }
 
-/// A text as one segment of a path or one value of a query (RFC 3986, section 2.1).
+/// Percent-encodes a text (RFC 3986, section 2.1), for use as a path segment or a query value.
 pub fn percent_encode(text: &str) -> String {
     let mut encoded = String::new();
     for byte in text.bytes() {
--- a/crates/emberpin-ctl/src/main.rs
+++ b/crates/emberpin-ctl/src/main.rs
@@ -1,11 +1,11 @@
-//! The program `emberpinctl`; everything is in the library.
+//! The program `emberpinctl`: parses the arguments, runs the command and sets the exit status.
 #![forbid(unsafe_code)]
 
 use emberpin_ctl::command_line::{CommandLine, USAGE};
 use emberpin_ctl::run::run;
 use std::process::ExitCode;
 
-/// The exit status for an invalid command line, for which no registry was called.
+/// Exit status for an invalid command line; no registry has been called then.
 const EXIT_USAGE: u8 = 2;
 
 #[tokio::main(flavor = "current_thread")]
--- a/crates/emberpin-ctl/src/members.rs
+++ b/crates/emberpin-ctl/src/members.rs
@@ -1,9 +1,9 @@
-//! The output of `members`: every registry with its proxies and the servers that it knows.
+//! Formats the output of `members`: every registry with the sessions of its proxies and the servers that it knows.
 
 use crate::fleet::FleetReport;
 use crate::status::{Instance, ProxySession, Status};
 
-/// The members of a fleet, one a line.
+/// Formats the members of a fleet, one line each.
 pub fn render(fleet: &FleetReport) -> String {
     let mut lines = Vec::new();
     for report in &fleet.registries {
--- a/crates/emberpin-ctl/src/run.rs
+++ b/crates/emberpin-ctl/src/run.rs
@@ -1,4 +1,5 @@
-//! Carries out a command: `Ok` with what to print, `Err` if it was rejected, failed, or found something.
+//! Executes a command. The result is the text to print, or an error if the command was rejected, failed, or found
+//! problems to report.
 
 use crate::checks::{check_all, Finding};
 use crate::client::{call, CallError, Request};
@@ -10,41 +11,41 @@
 use std::io;
 use std::string::FromUtf8Error;
 
-/// Why a command did not succeed.
+/// Why a command did not succeed. The program prints the error and exits with status 1.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The file of a patch cannot be read.
+    /// The patch file cannot be read.
     #[error("{file}: {source}")]
     ReadFile {
         /// The file's name.
         file: String,
-        /// What the system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The patch in a file was not applied.
+    /// The patch in a file is invalid or was not applied.
     #[error("{file}: {source}")]
     PatchFile {
         /// The file's name.
         file: String,
-        /// Why the patch was not applied. Boxed, as it is much larger than the other causes.
+        /// Why the patch was not applied. Boxed because it is much larger than the other variants.
         source: Box<PatchError>,
     },
-    /// A patch that was made from the arguments was not applied.
+    /// A patch that was built from the arguments (`drop`) was not applied.
     #[error(transparent)]
     Patch(#[from] PatchError),
     /// A call failed.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// It is not known which locks are held.
+    /// The held locks could not be read.
     #[error(transparent)]
     Locks(#[from] LocksError),
-    /// Nobody holds the lock that the command names.
+    /// The lock that the command names is not held.
     #[error("nobody holds the lock {0}")]
     LockNotHeld(String),
-    /// No registry reported its status; a line for each.
+    /// No registry reported its status. The text has one line for each registry.
     #[error("{0}")]
     NoRegistryReachable(String),
-    /// The doctor found something.
+    /// `doctor` found at least one problem.
     #[error("{}", render_findings(.0))]
     Findings(Vec<Finding>),
 }
@@ -52,30 +53,30 @@
 /// Why a patch was not applied.
 #[derive(Debug, thiserror::Error)]
 pub enum PatchError {
-    /// It is invalid by itself, or on top of the newest configuration.
+    /// The patch is invalid by itself, or on top of the newest configuration.
     #[error(transparent)]
     Invalid(#[from] ValidationError),
-    /// Its body is not UTF-8.
+    /// The body of the patch is not UTF-8.
     #[error(transparent)]
     NotUtf8(#[from] FromUtf8Error),
     /// The call failed, or a registry rejected it.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The newest configuration, to validate it on, is not known.
+    /// The newest configuration, against which the patch is validated, could not be read.
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
 }
 
-/// Carries out a command, and returns what to print.
+/// Executes a command and returns the text to print.
 ///
 /// # Errors
 ///
-/// [`RunError`] if the command failed, was rejected, or found something to report.
+/// [`RunError`] if the command failed, was rejected, or found problems to report.
 pub async fn run(command_line: CommandLine) -> Result<String, RunError> {
     let addresses = &command_line.addresses;
     match command_line.command {
         Command::Help => Ok(USAGE.into()),
-        Command::Get => Ok(fleet::configuration_json(addresses).await?),
+        Command::Get => Ok(fleet::fetch_configuration_json(addresses).await?),
         Command::Patch { file, dry_run } => patch_file(addresses, file, dry_run).await,
         Command::Drop {
             kind,
@@ -86,15 +87,15 @@
             Ok(send_patch(addresses, body).await?)
         }
         Command::Evacuate(zone) => {
-            Ok(change(addresses, &format!("/evac/{zone}/begin"), String::new()).await?)
+            Ok(send_change(addresses, &format!("/evac/{zone}/begin"), String::new()).await?)
         }
         Command::Return(zone) => {
-            Ok(change(addresses, &format!("/evac/{zone}/finish"), String::new()).await?)
+            Ok(send_change(addresses, &format!("/evac/{zone}/finish"), String::new()).await?)
         }
-        Command::ListLocks => Ok(render_locks(&locks::held_locks(addresses).await?)),
-        Command::ShowLock(name) => Ok(held_lock(addresses, name).await?.to_string()),
+        Command::ListLocks => Ok(render_locks(&locks::fetch_held_locks(addresses).await?)),
+        Command::ShowLock(name) => Ok(find_held_lock(addresses, name).await?.to_string()),
         Command::ReleaseLock(name) => {
-            let lock = held_lock(addresses, name).await?;
+            let lock = find_held_lock(addresses, name).await?;
             locks::release(addresses, &lock).await?;
             Ok(format!("released {lock}"))
         }
@@ -111,8 +112,8 @@
     }
 }
 
-async fn held_lock(addresses: &[String], name: String) -> Result<HeldLock, RunError> {
-    let mut locks = locks::held_locks(addresses).await?.into_iter();
+async fn find_held_lock(addresses: &[String], name: String) -> Result<HeldLock, RunError> {
+    let mut locks = locks::fetch_held_locks(addresses).await?.into_iter();
     locks
         .find(|lock| lock.name == name)
         .ok_or(RunError::LockNotHeld(name))
@@ -126,8 +127,8 @@
     lines.join("\n")
 }
 
-/// Sends a change, which a 2xx acknowledges.
-async fn change(addresses: &[String], path: &str, body: String) -> Result<String, CallError> {
+/// Posts a change; a 2xx response acknowledges it.
+async fn send_change(addresses: &[String], path: &str, body: String) -> Result<String, CallError> {
     call(addresses, &Request::post(path, body)).await?;
     Ok("acknowledged".into())
 }
@@ -148,7 +149,7 @@
     })
 }
 
-/// The body of a patch that drops one item.
+/// Builds the body of a patch that removes one item.
 fn drop_body(kind: ItemKind, name: String, version: u64) -> String {
     let name = jzon::JsonValue::from(name).dump();
     let list = if kind == ItemKind::Route {
@@ -159,22 +160,23 @@
     format!(r#"{{"remove":{{"{list}":[{{"name":{name},"ver":{version}}}]}}}}"#)
 }
 
-/// Sends a patch if it is valid by itself.
+/// Sends a patch after validating it by itself.
 async fn send_patch(addresses: &[String], body: Vec<u8>) -> Result<String, PatchError> {
     parse_patch(&body)?;
     let body = String::from_utf8(body)?;
-    Ok(change(addresses, "/config/patch", body).await?)
+    Ok(send_change(addresses, "/config/patch", body).await?)
 }
 
-/// Validates a patch without sending it; if there are addresses, on top of the newest configuration.
+/// Validates a patch without sending it: by itself without addresses, otherwise on top of the newest configuration.
 async fn validate_patch(addresses: &[String], body: &[u8]) -> Result<String, PatchError> {
     let patch = parse_patch(body)?;
     let count = patch.items.len();
     if addresses.is_empty() {
         return Ok(format!("{count} items, each of them valid"));
     }
-    // Tombstones are not handed out, so a version below that of a dropped item is found only when the patch is sent.
-    match validate(&fleet::configuration(addresses).await?, &patch) {
+    // Registries do not return tombstones, so a version below that of a removed item is detected only when the patch is
+    // sent.
+    match validate(&fleet::fetch_configuration(addresses).await?, &patch) {
         PatchOutcome::Apply(newer) => Ok(format!(
             "{count} items, {} of them newer; valid as a whole",
             newer.len()
--- a/crates/emberpin-ctl/src/status.rs
+++ b/crates/emberpin-ctl/src/status.rs
@@ -1,4 +1,4 @@
-//! The status that a registry reports, parsed from the JSON of `GET /status`.
+//! The status of a registry, parsed from the JSON response of `GET /status`, and helpers for reading JSON fields.
 
 use jzon::JsonValue;
 use std::time::Duration;
@@ -8,75 +8,76 @@
 pub struct Status {
     /// The name of the registry's machine.
     pub name: String,
-    /// Whether it is in contact with its store and a majority of the registries: `settled` to the operator.
+    /// Whether the registry is in contact with its store and with a majority of the registries; the output calls this
+    /// `settled`.
     pub settled: bool,
-    /// The machines whose stores vote, as it knows them, in order.
+    /// The machines whose stores vote according to this registry, sorted.
     pub voters: Vec<String>,
-    /// The registries that it is in contact with, in order.
+    /// The registries that this registry is in contact with, sorted.
     pub registries: Vec<String>,
-    /// The sessions of proxies with it.
+    /// The sessions of proxies with this registry.
     pub proxy_sessions: Vec<ProxySession>,
-    /// The instances of servers that it knows.
+    /// The server instances that this registry knows.
     pub instances: Vec<Instance>,
-    /// How many items of the configuration it has.
+    /// The number of items in this registry's copy of the configuration.
     pub items: u64,
-    /// The disk of the store on its machine, once that store has reported it.
+    /// The disk of the store on the same machine; `None` until the store has reported it.
     pub disk: Option<Disk>,
-    /// Its clock, as time since the Unix epoch.
+    /// The registry's clock, as time since the Unix epoch.
     pub clock: Duration,
 }
 
-/// A proxy's session.
+/// A session of a proxy with a registry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ProxySession {
     /// The proxy's name.
     pub name: String,
     /// The proxy's zone.
     pub zone: String,
-    /// How many changes it has yet to acknowledge.
+    /// The number of changes that the proxy has not acknowledged yet.
     pub changes_behind: u64,
 }
 
-/// An instance of a server.
+/// A server instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Instance {
     /// The instance's id.
     pub id: String,
-    /// The service that it belongs to.
+    /// The service that the instance belongs to.
     pub service: String,
-    /// The address at which it takes requests.
+    /// The address at which the instance serves requests.
     pub address: String,
     /// The instance's zone.
     pub zone: String,
     /// `up`, `drain` or `gone`.
     pub status: String,
-    /// How long it still warms up.
+    /// The remaining warm-up time.
     pub warmup_left: Duration,
-    /// The time since its last heartbeat.
+    /// The time since the instance's last heartbeat.
     pub last_heartbeat_age: Duration,
 }
 
 /// The disk of a store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Disk {
-    /// Bytes that the store's files take.
+    /// The size of the store's files.
     pub used_bytes: u64,
-    /// Bytes that they may take; 0 if that is not known.
+    /// The maximum size of the store's files; 0 if unknown.
     pub limit_bytes: u64,
-    /// `writable`, or why it takes no changes. Registries of earlier builds do not report it.
+    /// `writable`, or why the store accepts no changes; `None` from registries of earlier builds, which do not report it.
     pub state: Option<String>,
 }
 
-/// Why a response is not a status.
+/// Why a response body is invalid.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidStatus {
-    /// It is not JSON.
+    /// The body is not JSON.
     #[error("not a status: {0}")]
     NotJson(#[from] jzon::Error),
-    /// A field is missing or has another type.
+    /// The field of this name is missing or has another type.
     #[error("not a status: {0}")]
     Field(&'static str),
-    /// An element of a list of texts, as JSON, is none.
+    /// An element of a list of strings, given here as JSON, is not a string.
     #[error("not a status: {0} is not a text")]
     NotText(String),
 }
@@ -91,17 +92,17 @@
         let value = jzon::parse(json)?;
         let disk = parse_disk(&value["disk"])?;
         Ok(Status {
-            name: text(&value, "name")?,
+            name: string_field(&value, "name")?,
             settled: value["settled"]
                 .as_bool()
                 .ok_or(InvalidStatus::Field("settled"))?,
-            voters: sorted(list(&value, "voters", parse_text)?),
-            registries: sorted(list(&value, "registries", parse_text)?),
-            proxy_sessions: list(&value, "limiters", parse_proxy_session)?,
-            instances: list(&value, "instances", parse_instance)?,
-            items: number(&value, "items")?,
+            voters: sorted(list_field(&value, "voters", parse_text)?),
+            registries: sorted(list_field(&value, "registries", parse_text)?),
+            proxy_sessions: list_field(&value, "limiters", parse_proxy_session)?,
+            instances: list_field(&value, "instances", parse_instance)?,
+            items: u64_field(&value, "items")?,
             disk,
-            clock: milliseconds(&value, "clock_ms")?,
+            clock: duration_field(&value, "clock_ms")?,
         })
     }
 }
@@ -111,29 +112,29 @@
         return Ok(None);
     }
     Ok(Some(Disk {
-        used_bytes: number(value, "used")?,
-        limit_bytes: number(value, "of")?,
+        used_bytes: u64_field(value, "used")?,
+        limit_bytes: u64_field(value, "of")?,
         state: value["state"].as_str().map(str::to_owned),
     }))
 }
 
 fn parse_proxy_session(value: &JsonValue) -> Result<ProxySession, InvalidStatus> {
     Ok(ProxySession {
-        name: text(value, "name")?,
-        zone: text(value, "zone")?,
-        changes_behind: number(value, "behind")?,
+        name: string_field(value, "name")?,
+        zone: string_field(value, "zone")?,
+        changes_behind: u64_field(value, "behind")?,
     })
 }
 
 fn parse_instance(value: &JsonValue) -> Result<Instance, InvalidStatus> {
     Ok(Instance {
-        id: text(value, "id")?,
-        service: text(value, "service")?,
-        address: text(value, "address")?,
-        zone: text(value, "zone")?,
-        status: text(value, "status")?,
-        warmup_left: milliseconds(value, "cold_ms")?,
-        last_heartbeat_age: milliseconds(value, "heard_ms")?,
+        id: string_field(value, "id")?,
+        service: string_field(value, "service")?,
+        address: string_field(value, "address")?,
+        zone: string_field(value, "zone")?,
+        status: string_field(value, "status")?,
+        warmup_left: duration_field(value, "cold_ms")?,
+        last_heartbeat_age: duration_field(value, "heard_ms")?,
     })
 }
 
@@ -149,25 +150,28 @@
         .ok_or_else(|| InvalidStatus::NotText(value.to_string()))
 }
 
-pub(crate) fn text(value: &JsonValue, field: &'static str) -> Result<String, InvalidStatus> {
+pub(crate) fn string_field(
+    value: &JsonValue,
+    field: &'static str,
+) -> Result<String, InvalidStatus> {
     value[field]
         .as_str()
         .map(str::to_owned)
         .ok_or(InvalidStatus::Field(field))
 }
 
-pub(crate) fn number(value: &JsonValue, field: &'static str) -> Result<u64, InvalidStatus> {
+pub(crate) fn u64_field(value: &JsonValue, field: &'static str) -> Result<u64, InvalidStatus> {
     value[field].as_u64().ok_or(InvalidStatus::Field(field))
 }
 
-pub(crate) fn milliseconds(
+pub(crate) fn duration_field(
     value: &JsonValue,
     field: &'static str,
 ) -> Result<Duration, InvalidStatus> {
-    number(value, field).map(Duration::from_millis)
+    u64_field(value, field).map(Duration::from_millis)
 }
 
-pub(crate) fn list<T>(
+pub(crate) fn list_field<T>(
     value: &JsonValue,
     field: &'static str,
     parse: impl Fn(&JsonValue) -> Result<T, InvalidStatus>,
--- a/crates/emberpin-ctl/tests/checks.rs
+++ b/crates/emberpin-ctl/tests/checks.rs
@@ -1,4 +1,5 @@
-//! What the doctor finds in the reports of registries.
+//! The checks of `doctor`: each must find its problem in the reports of the registries, and no check may report a healthy
+//! fleet.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_ctl::checks::{
@@ -31,7 +32,7 @@
     }
 }
 
-/// The status of a healthy registry.
+/// The status of the healthy registry of this index.
 fn healthy_status(n: usize) -> Status {
     Status {
         name: format!("core-{n}"),
@@ -66,7 +67,7 @@
     }
 }
 
-/// Three healthy registries, changed by their number.
+/// Three healthy registries, of which `change` modifies each by its index.
 fn fleet(change: impl Fn(usize, &mut Status)) -> FleetReport {
     let changed = |n| {
         let mut status = healthy_status(n);
@@ -80,18 +81,18 @@
     }
 }
 
-/// A lock that is held for 3 s, and was renewed this long ago.
-fn lock(known_for: Duration) -> HeldLock {
+/// A lock with a lease of 3 s, which was renewed this long ago.
+fn lock(min_renewal_age: Duration) -> HeldLock {
     HeldLock {
         name: "l".into(),
         owner: "a3.7".into(),
-        fence: 41,
-        hold: Duration::from_secs(3),
-        known_for,
+        fencing_token: 41,
+        lease: Duration::from_secs(3),
+        min_renewal_age,
     }
 }
 
-/// The problems that one check finds; all checks together find no more.
+/// The problems that `check` finds. Expects that the other checks find none, and that each finding has a remedy.
 fn found(fleet: &FleetReport, check: impl Fn(&FleetReport) -> Vec<Finding>) -> Vec<String> {
     let found = check(fleet);
     expect_that!(check_all(fleet), eq(&found));
@@ -145,7 +146,7 @@
 
 #[gtest]
 fn too_few_voters_and_even_numbers_are_found() {
-    let with = |count: usize| {
+    let fleet_with_voters = |count: usize| {
         fleet(move |_, status| status.voters = (0..count).map(|n| format!("10.0.0.{n}")).collect())
     };
     for (count, problem) in [
@@ -157,7 +158,7 @@
         (5, None),
         (6, Some("6 voters bear no more losses than 5 would")),
     ] {
-        let found = found(&with(count), voter_count);
+        let found = found(&fleet_with_voters(count), voter_count);
         expect_that!(
             found.iter().map(String::as_str).collect::<Vec<_>>(),
             eq(&Vec::from_iter(problem)),
@@ -173,7 +174,7 @@
         found(&fleet_report, zones_without_proxy),
         elements_are![eq("no limiter of zone lulea is in session")]
     );
-    let one_knows = fleet(|n, status| {
+    let proxy_known_to_one_registry = fleet(|n, status| {
         status.instances.push(instance("i-2", "s", "lulea"));
         if n == 1 {
             status.proxy_sessions.push(ProxySession {
@@ -183,7 +184,7 @@
             });
         }
     });
-    expect_that!(check_all(&one_knows), is_empty());
+    expect_that!(check_all(&proxy_known_to_one_registry), is_empty());
 }
 
 #[gtest]
@@ -227,9 +228,9 @@
         found(&fleet_report, instances_known_to_one_registry),
         elements_are![eq("only registry 10.1.0.1:8649 knows server i-2")]
     );
-    let mut alone = fleet(|_, _| {});
-    alone.registries.truncate(1);
-    expect_that!(check_all(&alone), is_empty());
+    let mut single_registry = fleet(|_, _| {});
+    single_registry.registries.truncate(1);
+    expect_that!(check_all(&single_registry), is_empty());
 }
 
 #[gtest]
@@ -240,13 +241,14 @@
     fleet_report.registries[0].received_at += Duration::from_millis(1);
     let problem = "the clock of registry 10.3.0.1:8649 is 1001 ms ahead of that of 10.1.0.1:8649";
     expect_that!(found(&fleet_report, clock_skew), elements_are![eq(problem)]);
-    // All of them differ from this machine's own clock: that one is wrong.
+    // All registries differ from the clock of this machine by the same time: the clock of this machine is wrong.
     for report in &mut fleet_report.registries {
         report.received_at = Duration::ZERO;
     }
     expect_that!(check_all(&fleet_report), is_empty());
-    let absurd = fleet(|n, status| status.clock = Duration::from_millis([0, u64::MAX, 7][n]));
-    expect_that!(clock_skew(&absurd).len(), eq(1));
+    let extreme_clocks =
+        fleet(|n, status| status.clock = Duration::from_millis([0, u64::MAX, 7][n]));
+    expect_that!(clock_skew(&extreme_clocks).len(), eq(1));
 }
 
 #[gtest]
@@ -264,7 +266,7 @@
 }
 
 #[gtest]
-fn a_disk_that_takes_no_changes_is_found() {
+fn a_disk_that_accepts_no_writes_is_found() {
     let fleet_report = fleet(|n, status| {
         let state = [None, Some("full".into()), Some("writable".into())][n].clone();
         status.disk = Some(Disk {
@@ -280,7 +282,7 @@
 }
 
 #[gtest]
-fn a_lock_that_is_known_for_much_longer_than_its_hold_is_found() {
+fn a_lock_without_renewal_long_after_its_lease_is_found() {
     let mut fleet_report = fleet(|_, _| {});
     let millisecond = Duration::from_millis(1);
     let at_the_limit = Duration::from_secs(36);
@@ -293,18 +295,18 @@
         found(&fleet_report, stuck_locks),
         elements_are![eq(problem)]
     );
-    let long_hold = HeldLock {
-        hold: Duration::MAX,
+    let long_lease = HeldLock {
+        lease: Duration::MAX,
         ..lock(Duration::from_secs(1_000_000))
     };
-    fleet_report.locks = Ok(Some(vec![long_hold]));
+    fleet_report.locks = Ok(Some(vec![long_lease]));
     expect_that!(check_all(&fleet_report), is_empty());
     fleet_report.locks = Ok(None);
     expect_that!(check_all(&fleet_report), is_empty());
 }
 
 #[gtest]
-fn registers_that_cannot_be_read_are_found() {
+fn unreadable_locks_numbers_and_cells_are_found() {
     let mut fleet_report = fleet(|_, _| {});
     let source = AttemptError::Status {
         status: 504,
--- a/crates/emberpin-ctl/tests/client.rs
+++ b/crates/emberpin-ctl/tests/client.rs
@@ -1,4 +1,4 @@
-//! How the program calls registries: redirects, failover, rejections and time-outs.
+//! Redirects, failover, rejections and time-outs of the calls to registries.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -22,7 +22,7 @@
     let (code, out, _) = emberpinctl(&["--at", &first.address, "get"]);
     expect_that!((code, out.as_str()), eq((Some(0), "there\n")));
     expect_that!(last.requests(), elements_are![eq("GET /c?d ")]);
-    // A third redirect is not followed, but the next address is called.
+    // After the third redirect, which is not followed, the next address is called.
     let zeroth = FakeRegistry::start(&[&redirect(&format!("{}/a", first.address))]);
     let healthy = FakeRegistry::start(&[HEALTHY]);
     let (code, out, _) = emberpinctl(&[
@@ -35,9 +35,9 @@
 }
 
 #[gtest]
-fn the_next_address_is_called_after_a_fault() {
-    // Nobody listens on a port that was just given back.
-    let gone = TcpListener::bind("127.0.0.1:0")
+fn the_next_address_is_called_after_a_failed_attempt() {
+    // Nothing listens on a port that was just released.
+    let closed_port = TcpListener::bind("127.0.0.1:0")
         .expect("a port")
         .local_addr()
         .expect("an address")
@@ -58,16 +58,19 @@
             "{fault}"
         );
     }
-    let closes = FakeRegistry::start(&[""]);
+    let closing = FakeRegistry::start(&[""]);
     let good = FakeRegistry::start(&[HEALTHY]);
     let started_at = std::time::Instant::now();
-    let at = format!("{gone},{silent},{},{}", closes.address, good.address);
-    expect_that!(emberpinctl(&["--at", &at, "get"]).0, some(eq(0)));
+    let addresses = format!(
+        "{closed_port},{silent},{},{}",
+        closing.address, good.address
+    );
+    expect_that!(emberpinctl(&["--at", &addresses, "get"]).0, some(eq(0)));
     expect_that!(started_at.elapsed().as_secs_f64(), all!(ge(1.0), lt(4.0)));
 }
 
 #[gtest]
-fn a_rejection_ends_the_call_and_an_unexpected_4xx_does_the_third_time() {
+fn a_call_ends_at_a_rejection_or_the_third_unexpected_4xx() {
     for (status, times) in [
         ("400 No", 1),
         ("409 No", 1),
@@ -106,7 +109,7 @@
 }
 
 #[gtest]
-fn a_change_without_a_clear_response_is_reported_in_time() {
+fn a_change_that_no_registry_acknowledges_or_rejects_fails_within_the_retry_window() {
     let registry = FakeRegistry::start(&[&response("503 Full", "", "full")]);
     let started_at = std::time::Instant::now();
     let (code, _, err) = emberpinctl(&["--at", &registry.address, "evacuate", "umea"]);
--- a/crates/emberpin-ctl/tests/command_line.rs
+++ b/crates/emberpin-ctl/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! How arguments are parsed, and which are invalid.
+//! Parsing of valid and invalid arguments.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_config::ItemKind;
--- a/crates/emberpin-ctl/tests/common/mod.rs
+++ b/crates/emberpin-ctl/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The program, and stand-ins for registries that respond to it.
+//! Runs the program, and stand-ins for the registries that it calls.
 #![allow(dead_code, missing_docs, reason = "each test file uses a part of it")]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,13 +8,13 @@
 
 /// The configuration of a healthy registry.
 pub const CONFIG: &str = r#"{"svcs":[{"name":"s","hcheck":"/h","maxconn":9,"ver":3}],"vhosts":[]}"#;
-/// Stands for the response of a healthy registry: its status, its locks, or its configuration.
+/// Placeholder for the response of a healthy registry to `GET /status`, `GET /locks` or `GET /config/get`.
 pub const HEALTHY: &str = "healthy";
-/// The status of a healthy registry, without the time.
+/// The status of a healthy registry; `NOW` is replaced by the time of the response.
 const STATUS: &str = r#"{"name":"core","settled":true,"voters":["a","b","c"],"registries":[],"limiters":[{"name":"e","zone":"z","behind":2}],"instances":[{"id":"i-1","service":"s","address":"10.0.0.1:80","zone":"z","status":"up","cold_ms":5,"heard_ms":7}],"items":1,"disk":null,"clock_ms":NOW}"#;
 
-/// A registry that gives each request the next of its responses, and the last one for ever. An empty response closes
-/// the connection.
+/// A stand-in registry that answers each request with the next of its responses, and all further requests with the last
+/// one. An empty response closes the connection.
 pub struct FakeRegistry {
     pub address: String,
     requests: Arc<Mutex<Vec<String>>>,
@@ -48,7 +48,7 @@
         FakeRegistry { address, requests }
     }
 
-    /// The first line and the body of each request.
+    /// The method, path and body of each request so far.
     pub fn requests(&self) -> Vec<String> {
         self.requests.lock().expect("no panic").clone()
     }
@@ -64,25 +64,25 @@
     }
 }
 
-/// The first line of a request, and its body.
+/// Reads a request and returns its method, path and body.
 fn read_request(stream: &TcpStream) -> String {
     let mut lines = BufReader::new(stream);
-    let (mut first, mut length) = (String::new(), 0);
-    lines.read_line(&mut first).expect("a request");
+    let (mut request_line, mut content_length) = (String::new(), 0);
+    lines.read_line(&mut request_line).expect("a request");
     loop {
         let mut line = String::new();
         if lines.read_line(&mut line).expect("a head") <= 2 {
             break;
         }
         if let Some(value) = line.to_ascii_lowercase().strip_prefix("content-length:") {
-            length = value.trim().parse().expect("a length");
+            content_length = value.trim().parse().expect("a length");
         }
     }
-    let mut body = vec![0; length];
+    let mut body = vec![0; content_length];
     lines.read_exact(&mut body).expect("a body");
     format!(
         "{} {}",
-        first.trim_end().trim_end_matches(" HTTP/1.1"),
+        request_line.trim_end().trim_end_matches(" HTTP/1.1"),
         String::from_utf8_lossy(&body)
     )
 }
@@ -105,7 +105,7 @@
     response("200 OK", "", body)
 }
 
-/// Runs the program: exit status, standard output, standard error.
+/// Runs the program and returns its exit status, standard output and standard error.
 pub fn emberpinctl(arguments: &[&str]) -> (Option<i32>, String, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_emberpinctl"))
         .args(arguments)
--- a/crates/emberpin-ctl/tests/locks.rs
+++ b/crates/emberpin-ctl/tests/locks.rs
@@ -1,4 +1,4 @@
-//! The commands for locks, cells and numbers, against stand-ins for registries.
+//! The commands for locks, cells and numbers, run against stand-in registries.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -29,7 +29,7 @@
 }
 
 #[gtest]
-fn lock_list_says_so_if_no_lock_is_held() {
+fn lock_list_reports_that_no_lock_is_held() {
     let registry = FakeRegistry::start(&[&ok(r#"{"locks":[]}"#)]);
     let (code, out, _) = emberpinctl(&["--at", &registry.address, "lock", "list"]);
     expect_that!((code, out.as_str()), eq((Some(0), "no lock is held\n")));
@@ -48,7 +48,7 @@
 }
 
 #[gtest]
-fn lock_release_finishes_with_the_owner_and_the_fence_that_were_listed() {
+fn lock_release_sends_the_listed_owner_and_fencing_token() {
     let registry = FakeRegistry::start(&[&ok(TWO_LOCKS), &ok("")]);
     let (code, out, _) = emberpinctl(&["--at", &registry.address, "lock", "release", "l/1"]);
     expect_that!(
@@ -65,7 +65,7 @@
 }
 
 #[gtest]
-fn lock_release_of_a_lock_that_nobody_holds_sends_nothing() {
+fn lock_release_of_a_lock_without_a_holder_sends_no_release() {
     let registry = FakeRegistry::start(&[&ok(TWO_LOCKS)]);
     let (code, _, err) = emberpinctl(&["--at", &registry.address, "lock", "release", "x"]);
     expect_that!(
@@ -76,7 +76,7 @@
 }
 
 #[gtest]
-fn a_list_that_cannot_be_read_is_an_error() {
+fn an_invalid_list_of_locks_is_an_error() {
     let registry = FakeRegistry::start(&[&ok(r#"{"locks":[{"name":"l"}]}"#)]);
     let (code, _, err) = emberpinctl(&["--at", &registry.address, "lock", "list"]);
     expect_that!(code, some(eq(1)));
--- a/crates/emberpin-ctl/tests/program.rs
+++ b/crates/emberpin-ctl/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program's commands, against stand-ins for registries.
+//! The commands of the program, run against stand-in registries.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -145,8 +145,8 @@
 }
 
 #[gtest]
-fn doctor_asks_every_registry_that_is_named_and_exits_with_1_after_a_finding() {
-    // Three registries on one port of three addresses of this machine.
+fn doctor_calls_every_named_registry_and_exits_with_1_after_a_finding() {
+    // The status names three registries on one port of three loopback addresses; nothing listens on the third.
     let first = TcpListener::bind("127.0.0.1:0").expect("a port");
     let port = first.local_addr().expect("an address").port();
     let second = TcpListener::bind(("127.0.0.2", port)).expect("the same port");
@@ -156,8 +156,8 @@
             now_ms()
         ))
     };
-    let no_locks = ok(r#"{"locks":[]}"#);
-    let first = FakeRegistry::on(first, &[&status("one"), &ok(CONFIG), &no_locks]);
+    let no_held_locks = ok(r#"{"locks":[]}"#);
+    let first = FakeRegistry::on(first, &[&status("one"), &ok(CONFIG), &no_held_locks]);
     let second = FakeRegistry::on(second, &[&status("two")]);
     let (code, out, err) = emberpinctl(&["--at", &first.address, "doctor"]);
     expect_that!((code, out.as_str()), eq((Some(1), "")));
@@ -178,7 +178,8 @@
     );
 }
 
-/// The findings of the doctor at one registry, and what it printed, when the registry answers thus about its locks.
+/// Runs `doctor` against one registry that answers requests for its locks with these responses. Returns the exit status
+/// and all output.
 fn diagnose_with(locks_responses: &[&str]) -> (Option<i32>, String) {
     let status = ok(&format!(
         r#"{{"name":"n","settled":true,"voters":["127.0.0.1","127.0.0.1","127.0.0.1"],"registries":[],"limiters":[{{"name":"e","zone":"z","behind":0}}],"instances":[{{"id":"i-1","service":"s","address":"a","zone":"z","status":"up","cold_ms":0,"heard_ms":0}}],"items":1,"disk":null,"clock_ms":{}}}"#,
@@ -192,7 +193,7 @@
 }
 
 #[gtest]
-fn doctor_finds_nothing_where_applications_hold_no_locks_or_cannot() {
+fn doctor_finds_nothing_without_held_locks_or_without_support_for_locks() {
     let missing = response("404 Not Found", "", "there is no such call");
     for locks in [&ok(r#"{"locks":[]}"#), &missing] {
         let (code, output) = diagnose_with(&[locks]);
@@ -204,7 +205,7 @@
 }
 
 #[gtest]
-fn doctor_finds_a_stuck_lock_and_registers_that_no_majority_confirms() {
+fn doctor_finds_a_stuck_lock_and_unconfirmed_locks_numbers_and_cells() {
     let stuck = ok(
         r#"{"locks":[{"name":"l","owner":"a3.7","fence":41,"hold_ms":3000,"known_for_ms":36001}]}"#,
     );
--- a/crates/emberpin-ctl/tests/status.rs
+++ b/crates/emberpin-ctl/tests/status.rs
@@ -1,4 +1,4 @@
-//! The status that a registry reports.
+//! Parsing of the status of a registry.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_ctl::status::{Disk, Status};
