--- a/crates/emberpin-ctl/src/checks.rs
+++ b/crates/emberpin-ctl/src/checks.rs
@@ -209,8 +209,8 @@
 
 /// Reports the two registries whose clocks are furthest apart, if they differ by more than `MAX_CLOCK_SKEW`.
 ///
-/// The registries do not respond at the same moment, so each clock is compared with the clock of this machine at the time
-/// of the response.
+/// The registries do not respond at the same moment, so each clock is compared with the clock of this machine at the
+/// time of the response.
 pub fn clock_skew(fleet: &FleetReport) -> Vec<Finding> {
     let clock_offset = |status: &Status, received_at: Duration| {
         saturating_millis(status.clock).saturating_sub(saturating_millis(received_at))
--- a/crates/emberpin-ctl/src/client.rs
+++ b/crates/emberpin-ctl/src/client.rs
@@ -16,7 +16,8 @@
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The additional time-out for each whole MiB of a request body.
 const RESPONSE_TIMEOUT_PER_MIB: Duration = Duration::from_secs(1);
-/// No attempt begins later than this after the start of a call, because a change may be repeated only for a limited time.
+/// No attempt begins later than this after the start of a call, because a change may be repeated only for a limited
+/// time.
 pub const RETRY_WINDOW: Duration = Duration::from_secs(5);
 /// The delay before the second attempt; it doubles with each attempt, up to `MAX_BACKOFF`.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
@@ -148,11 +149,11 @@
     NotUtf8(#[from] FromUtf8Error),
 }
 
-/// Calls one address after the other until a registry acknowledges (2xx) or rejects the request. Returns the body of the
-/// 2xx response.
+/// Calls one address after the other until a registry acknowledges (2xx) or rejects the request. Returns the body of
+/// the 2xx response.
 ///
-/// If an attempt fails, or ends with any other status, the same request is sent to the next address after an exponential
-/// backoff.
+/// If an attempt fails, or ends with any other status, the same request is sent to the next address after an
+/// exponential backoff.
 ///
 /// # Errors
 ///
--- a/crates/emberpin-ctl/src/command_line.rs
+++ b/crates/emberpin-ctl/src/command_line.rs
@@ -177,8 +177,8 @@
     }
 }
 
-/// Whether a zone can be inserted into a URL path unescaped: it has no characters that are special in a path, and is not
-/// a dot segment.
+/// Whether a zone can be inserted into a URL path unescaped: it has no characters that are special in a path, and is
+/// not a dot segment.
 fn is_zone(zone: &str) -> bool {
     !zone.is_empty()
         && zone
--- a/crates/emberpin-ctl/src/fleet.rs
+++ b/crates/emberpin-ctl/src/fleet.rs
@@ -67,8 +67,8 @@
     }
 }
 
-/// Requests the status of the registries at these addresses and of all registries that they name in turn, each once, and
-/// afterwards the configuration and the held locks.
+/// Requests the status of the registries at these addresses and of all registries that they name in turn, each once,
+/// and afterwards the configuration and the held locks.
 pub async fn collect(addresses: &[String]) -> FleetReport {
     let registries = collect_registries(addresses).await;
     let services = fetch_configuration(addresses).await.map(|configuration| {
--- a/crates/emberpin-ctl/src/status.rs
+++ b/crates/emberpin-ctl/src/status.rs
@@ -64,7 +64,8 @@
     pub used_bytes: u64,
     /// The maximum size of the store's files; 0 if unknown.
     pub limit_bytes: u64,
-    /// `writable`, or why the store accepts no changes; `None` from registries of earlier builds, which do not report it.
+    /// `writable`, or why the store accepts no changes; `None` from registries of earlier builds, which do not report
+    /// it.
     pub state: Option<String>,
 }
 
--- a/crates/emberpin-ctl/tests/checks.rs
+++ b/crates/emberpin-ctl/tests/checks.rs
@@ -1,5 +1,5 @@
-//! The checks of `doctor`: each must find its problem in the reports of the registries, and no check may report a healthy
-//! fleet.
+//! The checks of `doctor`: each must find its problem in the reports of the registries, and no check may report a
+//! healthy fleet.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_ctl::checks::{
--- a/crates/emberpin-demo/src/clients.rs
+++ b/crates/emberpin-demo/src/clients.rs
@@ -1,4 +1,4 @@
-//! Stand-in clients: they connect to the edges of their zone, and retry only what is safe to retry.
+//! Stand-in clients. They prefer edges of their own zone, and retry only requests that are safe to retry.
 
 use crate::deployment::{Deployment, ZONES};
 use crate::edge::{ConnectionChoice, Edge, READINESS_PROBE_INTERVAL};
@@ -16,18 +16,18 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, sleep, sleep_until, timeout, MissedTickBehavior};
 
-/// Attempts at one request, with the first.
+/// The maximum number of attempts for one request, including the first.
 const MAX_ATTEMPTS: usize = 4;
 /// The backoff before a retry, unless the response has a `retry-after` header.
 const RETRY_BACKOFF: Duration = Duration::from_millis(20);
-/// A backoff takes at most this part of the time that is left.
+/// A backoff is at most the remaining time divided by this.
 const BACKOFF_DIVISOR: u32 = 3;
-/// How often an edge is asked during the start whether it is ready.
+/// How often an edge is probed for its readiness during the start.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How often an edge is asked whether a change is in force.
+/// How often an edge is checked for whether a change is in force.
 const CHANGE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// All clients, which share their connections and their random numbers.
+/// All clients. They share connections and a random number generator.
 pub struct Clients {
     edges: Vec<Edge>,
     random: Mutex<oorandom::Rand32>,
@@ -35,30 +35,30 @@
     recorder: Recorder,
 }
 
-/// What a response means for the request.
+/// How a request continues after an attempt.
 enum NextStep {
-    /// No further attempt.
+    /// The request ends with this outcome.
     End(Outcome),
-    /// A retry is safe; without one, the request ends so.
+    /// A retry is safe; if there is none, the request ends with this outcome.
     RetryOr(Outcome),
 }
 
-/// An attempt that has ended.
-struct EndedAttempt {
+/// A finished attempt.
+struct FinishedAttempt {
     id: String,
     response: Result<AttemptResponse, SendError>,
 }
 
-/// What a client takes from a response.
+/// The parts of a response that a client evaluates.
 struct AttemptResponse {
     status: u16,
-    /// Whether the seal and the body are those of a server for this very attempt.
-    is_own: bool,
+    /// Whether the `seal` header and the body are those that a server returns for this attempt.
+    is_for_attempt: bool,
     retry_after: Option<Duration>,
 }
 
 impl Clients {
-    /// Clients of the edges of a deployment.
+    /// Creates the clients of a deployment's edges.
     pub fn new(deployment: &Deployment, seed: u64, recorder: &Recorder) -> Arc<Clients> {
         let edges = deployment.edges.iter().map(|machine| {
             Edge::new(
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Waits until every edge has said that it is ready.
+    /// Waits until every edge has responded that it is ready.
     pub async fn wait_until_edges_are_ready(&self) {
         for edge in &self.edges {
             while !edge.is_ready().await {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Sends requests at the rate of a route until `end`, and waits for the last response.
+    /// Sends requests at the route's rate until `end`, and waits for all of them to finish.
     pub async fn send_requests(self: Arc<Clients>, route: &'static Route, end: Instant) {
         let mut requests = JoinSet::new();
         let mut ticks = interval(Duration::from_secs_f64(1.0 / route.requests_per_second));
@@ -112,7 +112,7 @@
         while requests.join_next().await.is_some() {}
     }
 
-    /// Waits until the configuration change is in force at every edge; returns when it was at the last.
+    /// Waits until the configuration change is in force at every edge; returns that time.
     pub async fn wait_until_change_is_in_force(self: Arc<Clients>) -> Duration {
         for edge in 0..self.edges.len() {
             while !self.is_change_in_force(edge).await {
@@ -134,26 +134,26 @@
         attempt.response.ok().map(|response| response.status)
     }
 
-    /// Sends one request with its retries, and records how it ended.
+    /// Sends one request with its retries, and records its outcome.
     async fn request(self: Arc<Clients>, route: &'static Route) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let zone = ZONES[self.random_index(ZONES.len())];
-        let mut tried_edges = Vec::new();
+        let mut attempted_edges = Vec::new();
         let (outcome, attempt_id) = loop {
-            let edge = self.choose_edge(zone, &tried_edges);
-            let choice = match tried_edges.is_empty() {
+            let edge = self.choose_edge(zone, &attempted_edges);
+            let choice = match attempted_edges.is_empty() {
                 true => ConnectionChoice::Reuse,
                 false => ConnectionChoice::New,
             };
-            tried_edges.push(edge);
-            let remaining = route.deadline.saturating_sub(began.elapsed());
+            attempted_edges.push(edge);
+            let remaining = route.deadline.saturating_sub(started_at.elapsed());
             let attempt = self.attempt(edge, choice, route, remaining).await;
             let outcome = match next_step(&attempt.response, route.kind) {
                 NextStep::End(outcome) => break (outcome, attempt.id),
                 NextStep::RetryOr(outcome) => outcome,
             };
-            let remaining = route.deadline.saturating_sub(began.elapsed());
-            if remaining.is_zero() || tried_edges.len() >= MAX_ATTEMPTS {
+            let remaining = route.deadline.saturating_sub(started_at.elapsed());
+            if remaining.is_zero() || attempted_edges.len() >= MAX_ATTEMPTS {
                 break (outcome, attempt.id);
             }
             let retry_after = attempt
@@ -163,24 +163,24 @@
             let backoff = retry_after.unwrap_or(RETRY_BACKOFF);
             sleep(backoff.min(remaining / BACKOFF_DIVISOR)).await;
         };
-        let latency = began.elapsed();
+        let latency = started_at.elapsed();
         let is_late = latency > route.deadline;
         self.recorder.lock().requests.push(ClientRequest {
             route: route.name,
             outcome: if is_late { Outcome::Failed } else { outcome },
             latency,
             attempt_id,
-            is_first_attempt: tried_edges.len() == 1,
+            has_single_attempt: attempted_edges.len() == 1,
         });
     }
 
-    /// Draws an edge: of those in use, one that was not tried, in the client's zone. Each condition is dropped if no
-    /// edge meets it.
-    fn choose_edge(&self, zone: &str, tried: &[usize]) -> usize {
+    /// Draws an edge that is in use, was not tried yet for this request, and is in the client's zone. The conditions
+    /// apply in this order, and one that no remaining edge meets is ignored.
+    fn choose_edge(&self, zone: &str, attempted: &[usize]) -> usize {
         let all = (0..self.edges.len()).collect();
-        let in_use = narrow(all, |edge| self.edges[edge].is_in_use());
-        let untried = narrow(in_use, |edge| !tried.contains(&edge));
-        let in_zone = narrow(untried, |edge| self.edges[edge].zone == zone);
+        let in_use = filter_or_all(all, |edge| self.edges[edge].is_in_use());
+        let unattempted = filter_or_all(in_use, |edge| !attempted.contains(&edge));
+        let in_zone = filter_or_all(unattempted, |edge| self.edges[edge].zone == zone);
         in_zone[self.random_index(in_zone.len())]
     }
 
@@ -188,14 +188,14 @@
         lock(&self.random).rand_range(0..len as u32) as usize
     }
 
-    /// Sends a request once, under an id of its own, and records the attempt.
+    /// Sends a request once, with a unique attempt id, and records the attempt.
     async fn attempt(
         &self,
         edge: usize,
         choice: ConnectionChoice,
         route: &Route,
         remaining: Duration,
-    ) -> EndedAttempt {
+    ) -> FinishedAttempt {
         let number = self.next_attempt.fetch_add(1, Ordering::Relaxed);
         let id = format!("try-{number:08}");
         let index = self.record_attempt(&id, route.kind);
@@ -206,16 +206,16 @@
         let response = timeout(remaining, exchange).await;
         let response = response
             .unwrap_or(Err(SendError::Broken))
-            .map(|response| AttemptResponse::of(&response, &id));
+            .map(|response| AttemptResponse::from_http(&response, &id));
         if let Ok(response) = &response {
             let attempt = &mut self.recorder.lock().attempts[index];
             attempt.status = Some(response.status);
-            attempt.has_foreign_response = is_success(response.status) && !response.is_own;
+            attempt.has_foreign_response = is_success(response.status) && !response.is_for_attempt;
         }
-        EndedAttempt { id, response }
+        FinishedAttempt { id, response }
     }
 
-    /// Records an attempt before it is sent; returns its index.
+    /// Records an attempt before it is sent; returns its index in the record.
     fn record_attempt(&self, id: &str, kind: RouteKind) -> usize {
         let mut record = self.recorder.lock();
         record.attempts.push(Attempt {
@@ -228,8 +228,8 @@
     }
 }
 
-/// Keeps the edges that meet a condition, or all if none does.
-fn narrow(edges: Vec<usize>, condition: impl Fn(usize) -> bool) -> Vec<usize> {
+/// Keeps the edges that meet a condition, or all edges if none meets it.
+fn filter_or_all(edges: Vec<usize>, condition: impl Fn(usize) -> bool) -> Vec<usize> {
     let kept: Vec<usize> = edges
         .iter()
         .copied()
@@ -257,7 +257,7 @@
         .ok()
 }
 
-/// Whether a request ends with this attempt. One that may have run is retried on a readonly route alone.
+/// Decides whether a request ends with this attempt. A request that may have run is retried only on a readonly route.
 fn next_step(response: &Result<AttemptResponse, SendError>, kind: RouteKind) -> NextStep {
     let retry_if_readonly = match kind {
         RouteKind::Readonly => NextStep::RetryOr(Outcome::Failed),
@@ -265,10 +265,10 @@
     };
     match response {
         Ok(response) => match response.status {
-            200..=299 if response.is_own => NextStep::End(Outcome::Served),
-            // A success of somebody else's, or a request that no attempt makes valid.
+            200..=299 if response.is_for_attempt => NextStep::End(Outcome::Served),
+            // A success that belongs to another attempt, or a request that a retry cannot make valid.
             200..=299 | 400 | 401 | 404 | 413 | 431 => NextStep::End(Outcome::Failed),
-            status if guarantees_not_run(status) => NextStep::RetryOr(Outcome::Refused),
+            status if guarantees_not_run(status) => NextStep::RetryOr(Outcome::Rejected),
             _ => retry_if_readonly,
         },
         Err(SendError::NotSent) => NextStep::RetryOr(Outcome::Failed),
@@ -277,18 +277,18 @@
 }
 
 impl AttemptResponse {
-    fn of(response: &HttpResponse, attempt_id: &str) -> AttemptResponse {
+    fn from_http(response: &HttpResponse, attempt_id: &str) -> AttemptResponse {
         let server = response.text().and_then(|body| {
             body.strip_prefix(attempt_id)?
                 .strip_prefix(" by ")?
                 .strip_suffix('\n')
         });
-        let seal_of = |server| response.header("seal") == Some(&seal(server, attempt_id));
+        let has_seal_of = |server| response.header("seal") == Some(&seal(server, attempt_id));
         let retry_after = response.header("retry-after");
         let seconds = retry_after.and_then(|seconds| seconds.parse().ok());
         AttemptResponse {
             status: response.status,
-            is_own: server.is_some_and(seal_of),
+            is_for_attempt: server.is_some_and(has_seal_of),
             retry_after: seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok()),
         }
     }
--- a/crates/emberpin-demo/src/command_line.rs
+++ b/crates/emberpin-demo/src/command_line.rs
@@ -1,4 +1,4 @@
-//! Parses the arguments of `emberpin-demo`.
+//! Parses the command-line arguments of `emberpin-demo`.
 
 use crate::scenario::DemoOptions;
 use getopts::{Matches, Options};
@@ -13,39 +13,40 @@
 const DEFAULT_EDGES: usize = 3;
 const ALLOWED_EDGES: RangeInclusive<usize> = 1..=100;
 
-const BRIEF: &str = "emberpin-demo: the gateway at work on loopback, judged at the end\n\n\
+/// The head of the help text.
+const HELP_HEAD: &str = "emberpin-demo: the gateway at work on loopback, judged at the end\n\n\
                      Exit status: 0 every rule held and 95 % were served, 1 not so, 2 it could not be played.";
 
-/// What the arguments ask for.
+/// The command that the arguments select.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Run the demonstration.
     Run(DemoOptions),
-    /// Print this help text.
+    /// Print the contained help text.
     Help(String),
 }
 
 /// Why the arguments were rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandLineError {
-    /// An option that does not exist, stands twice or lacks its value.
+    /// An option is unknown, is given twice or lacks its value.
     #[error(transparent)]
     Option(#[from] getopts::Fail),
-    /// Arguments that are not options.
+    /// There are positional arguments.
     #[error("unexpected: {0}")]
     UnexpectedArguments(String),
-    /// A value that is not a number of the right kind.
+    /// The value of an option is not a number of the expected type.
     #[error("--{option}: expected a number, found {value:?}")]
     NotANumber {
-        /// The option, without its dashes.
+        /// The option without its leading dashes.
         option: &'static str,
-        /// The value as it was typed.
+        /// The value as given.
         value: String,
     },
-    /// A run that is too short for its events, or too long.
+    /// The run would be too short for its events, or too long.
     #[error("--seconds: expected {} to {}", ALLOWED_SECONDS.start(), ALLOWED_SECONDS.end())]
     SecondsOutOfRange,
-    /// No edge, or more than there are loopback addresses set aside for edges.
+    /// There would be no edge, or more edges than loopback addresses reserved for them.
     #[error("--edges: expected {} to {}", ALLOWED_EDGES.start(), ALLOWED_EDGES.end())]
     EdgesOutOfRange,
 }
@@ -54,7 +55,7 @@
 ///
 /// # Errors
 ///
-/// [`CommandLineError`] names the option that is wrong and what it takes.
+/// [`CommandLineError`] names the invalid option and the values that it accepts.
 pub fn parse(arguments: impl Iterator<Item = OsString>) -> Result<Command, CommandLineError> {
     let options = options();
     let matches = options.parse(arguments)?;
@@ -64,7 +65,7 @@
         ));
     }
     if matches.opt_present("help") {
-        return Ok(Command::Help(options.usage(BRIEF)));
+        return Ok(Command::Help(options.usage(HELP_HEAD)));
     }
     demo_options(&matches).map(Command::Run)
 }
@@ -89,9 +90,9 @@
 }
 
 fn demo_options(matches: &Matches) -> Result<DemoOptions, CommandLineError> {
-    let seconds = number(matches, "seconds", DEFAULT_SECONDS)?;
-    let seed = number(matches, "seed", DEFAULT_SEED)?;
-    let edges = number(matches, "edges", DEFAULT_EDGES)?;
+    let seconds = parse_number(matches, "seconds", DEFAULT_SECONDS)?;
+    let seed = parse_number(matches, "seed", DEFAULT_SEED)?;
+    let edges = parse_number(matches, "edges", DEFAULT_EDGES)?;
     if !ALLOWED_SECONDS.contains(&seconds) {
         return Err(CommandLineError::SecondsOutOfRange);
     }
@@ -106,7 +107,7 @@
     })
 }
 
-fn number<T: FromStr>(
+fn parse_number<T: FromStr>(
     matches: &Matches,
     option: &'static str,
     default: T,
--- a/crates/emberpin-demo/src/configuration.rs
+++ b/crates/emberpin-demo/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configurations that the operator sends, and the items of one that is read back.
+//! The configuration patches that the operator sends, and the items of a configuration that is read back.
 
 use crate::record::ConfigItems;
 use jzon::{array, object, JsonValue};
@@ -7,7 +7,7 @@
 pub const CHARTS_SERVICE: &str = "chartroom";
 /// The service of the mutating route.
 pub const LEDGER_SERVICE: &str = "ledger";
-/// All services, each of which has servers in every zone.
+/// All services. Each has servers in every zone.
 pub const SERVICES: [&str; 2] = [CHARTS_SERVICE, LEDGER_SERVICE];
 
 /// The host of the readonly routes.
@@ -20,11 +20,11 @@
 /// The prefix of the route that the change removes.
 pub const REMOVED_ROUTE_PREFIX: &str = "/almanac/";
 
-/// Versions of the items before and after the change.
+/// The versions of the items before and after the change.
 const FIRST_VERSION: u64 = 7;
 const CHANGED_VERSION: u64 = 9;
 
-/// The patch that founds the configuration.
+/// The patch that creates the first configuration.
 pub fn first_patch() -> JsonValue {
     let ver = FIRST_VERSION;
     let mut services = array![];
@@ -49,7 +49,7 @@
     }, remove: { rtab: [] } }
 }
 
-/// The patch that changes it: one route gets another time-out, one is added and one removed.
+/// The patch that changes the configuration: one route gets another time-out, one is added and one is removed.
 pub fn change_patch() -> JsonValue {
     let ver = CHANGED_VERSION;
     object! { upsert: { vhosts: [{ hostname: CHARTS_HOST, locs: [
@@ -80,7 +80,7 @@
     }
 }
 
-/// The items of a configuration or patch, each under its kind and name.
+/// Extracts the items of a configuration or a patch, keyed by kind and name.
 pub fn items(configuration: &JsonValue) -> ConfigItems {
     let mut items = ConfigItems::new();
     for service in configuration["svcs"].members() {
@@ -99,11 +99,11 @@
     items
 }
 
-/// Applies an acknowledged patch to the items that result from those before it.
-pub fn apply_patch(items_before: &mut ConfigItems, patch: &JsonValue) {
-    items_before.extend(items(&patch["upsert"]));
+/// Applies an acknowledged patch to the items that result from all earlier patches.
+pub fn apply_patch(current_items: &mut ConfigItems, patch: &JsonValue) {
+    current_items.extend(items(&patch["upsert"]));
     for removed in patch["remove"]["rtab"].members() {
-        items_before.remove(&route_key(removed));
+        current_items.remove(&route_key(removed));
     }
 }
 
--- a/crates/emberpin-demo/src/election.rs
+++ b/crates/emberpin-demo/src/election.rs
@@ -1,8 +1,9 @@
-//! An example of an application: candidates elect a leader among them by a lock of the gateway.
+//! An example application: candidates elect a leader with a lock of the gateway.
 //!
-//! Each candidate counts itself leader from the moment at which its call was granted, and until its hold has passed
-//! since it *sent* its last good call, on its own steady clock. Now and then a leader falls silent without releasing
-//! the lock, as one that was killed; then another one is elected once that hold is over.
+//! Each candidate considers itself the leader from the moment at which its call was granted until the lease duration
+//! has passed since it *sent* its last successful call, on its own steady clock. After a few renewals a leader sends
+//! nothing for a while without releasing the lock, as if it had been killed; another candidate is elected once the
+//! lease has expired.
 
 use crate::http;
 use crate::record::{LeaderTerm, Recorder};
@@ -12,43 +13,43 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, sleep_until};
 
-/// The candidates, each with a task of its own.
+/// The names of the candidates. Each runs as a separate task.
 pub const CANDIDATES: [&str; 2] = ["candidate-1", "candidate-2"];
-/// How long a leader counts itself one after the send of its last good call. Long enough for a store to take the lead
-/// of the registers meanwhile.
-pub const HOLD: Duration = Duration::from_millis(1_500);
-/// The time from one renewal to the next.
+/// How long a candidate considers itself the leader after it sent its last successful call. Long enough for another
+/// store to take over the lead of the locks, numbers and cells meanwhile.
+pub const LEASE_DURATION: Duration = Duration::from_millis(1_500);
+/// The interval between renewals.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
-/// A registry that does not respond in this time is passed over.
+/// The next registry is called if one does not respond within this time.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// How many renewals a leader sends before it falls silent.
+/// The number of renewals that a leader sends before it simulates a crash.
 const RENEWALS_PER_TERM: usize = 2;
-/// How long a leader that fell silent sends nothing.
-const SILENCE: Duration = Duration::from_secs(3);
-/// The longest pause between two attempts to be elected; each is drawn.
+/// How long a leader sends nothing when it simulates a crash.
+const SIMULATED_CRASH_DURATION: Duration = Duration::from_secs(3);
+/// The maximum delay between two calls; each delay is drawn uniformly.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// The lock by which they elect.
+/// The name of the lock whose holder is the leader.
 const LOCK: &str = "demo-leader";
 
-/// One of those who want to lead.
+/// A candidate of the election.
 pub struct Candidate {
     name: &'static str,
     registries: Vec<SocketAddr>,
-    /// The registry that is called next, by its index.
+    /// The index of the registry that is called next, modulo their number.
     next_registry: usize,
     random: Rand64,
     recorder: Recorder,
 }
 
 /// A call that was granted.
-struct Granted {
+struct GrantedCall {
     /// When the call was sent, on the recorder's steady clock.
     sent_at: Duration,
     body: String,
 }
 
 impl Candidate {
-    /// The candidate of this index in [`CANDIDATES`], which begins with the registry of the same index.
+    /// Creates the candidate of this index in [`CANDIDATES`]. It calls the registry of the same index first.
     pub fn new(
         index: usize,
         registries: Vec<SocketAddr>,
@@ -64,54 +65,56 @@
         }
     }
 
-    /// Seeks to be elected again and again, until the end of the run.
+    /// Repeatedly tries to be elected, and leads when elected, until the end of the run.
     pub async fn run(mut self, end: Instant) {
         while Instant::now() < end {
-            match self.seek_election().await {
-                Some(fence) => {
-                    self.lead(fence, end).await;
-                    sleep_until((Instant::now() + SILENCE).min(end).into()).await;
+            match self.try_to_be_elected().await {
+                Some(fencing_token) => {
+                    self.lead(fencing_token, end).await;
+                    sleep_until((Instant::now() + SIMULATED_CRASH_DURATION).min(end).into()).await;
                 }
-                None => self.pause().await,
+                None => self.wait_before_retry().await,
             }
         }
     }
 
-    /// Asks for the lock once; the fence if it was granted, and if that came before the hold was over.
-    async fn seek_election(&mut self) -> Option<u64> {
-        let body = jzon::object! { owner: self.name, hold: hold_text() };
+    /// Requests the lock once. Returns the fencing token if the lock was granted and the response arrived before the
+    /// lease expired.
+    async fn try_to_be_elected(&mut self) -> Option<u64> {
+        let body = jzon::object! { owner: self.name, hold: lease_text() };
         let granted = self.call("begin", body.dump()).await?;
-        let fence = jzon::parse(&granted.body).ok()?["fence"].as_u64()?;
-        let (from, until) = (self.recorder.now(), granted.sent_at + HOLD);
+        let fencing_token = jzon::parse(&granted.body).ok()?["fence"].as_u64()?;
+        let (from, until) = (self.recorder.now(), granted.sent_at + LEASE_DURATION);
         if from >= until {
             return None;
         }
         self.recorder.lock().leader_terms.push(LeaderTerm {
             candidate: self.name,
-            fence,
+            fencing_token,
             from,
             until,
         });
-        Some(fence)
+        Some(fencing_token)
     }
 
-    /// Renews the lock a few times, unless it is lost.
-    async fn lead(&mut self, fence: u64, end: Instant) {
+    /// Renews the lock a few times, or until it is lost or the run ends.
+    async fn lead(&mut self, fencing_token: u64, end: Instant) {
         for _ in 0..RENEWALS_PER_TERM {
             let renew_at = Instant::now() + RENEWAL_INTERVAL;
             sleep_until(renew_at.min(end).into()).await;
-            if Instant::now() >= end || !self.renew(fence).await {
+            if Instant::now() >= end || !self.renew(fencing_token).await {
                 return;
             }
         }
     }
 
-    /// Renews the lock; whether that was acknowledged while the candidate still counted itself leader.
-    async fn renew(&mut self, fence: u64) -> bool {
-        let body = jzon::object! { owner: self.name, fence: fence, hold: hold_text() };
+    /// Renews the lock; returns whether the acknowledgement arrived while the candidate still considered itself the
+    /// leader.
+    async fn renew(&mut self, fencing_token: u64) -> bool {
+        let body = jzon::object! { owner: self.name, fence: fencing_token, hold: lease_text() };
         while self.recorder.now() < self.leads_until() {
             let Some(granted) = self.call("heartbeat", body.dump()).await else {
-                self.pause().await;
+                self.wait_before_retry().await;
                 continue;
             };
             let is_in_time = self.recorder.now() < self.leads_until();
@@ -119,7 +122,7 @@
                 let mut record = self.recorder.lock();
                 let mut terms = record.leader_terms.iter_mut().rev();
                 if let Some(term) = terms.find(|term| term.candidate == self.name) {
-                    term.until = granted.sent_at + HOLD;
+                    term.until = granted.sent_at + LEASE_DURATION;
                 }
             }
             return is_in_time;
@@ -127,7 +130,7 @@
         false
     }
 
-    /// When the candidate's last term ends by its own count.
+    /// When the candidate's last term ends on its own clock.
     fn leads_until(&self) -> Duration {
         let record = self.recorder.lock();
         let mut own_terms = record.leader_terms.iter().rev();
@@ -136,9 +139,9 @@
             .map_or(Duration::ZERO, |term| term.until)
     }
 
-    /// Calls one registry; `None` without a 200. The next call goes to another registry, unless this one gave a clear
-    /// answer.
-    async fn call(&mut self, step: &str, body: String) -> Option<Granted> {
+    /// Calls one registry; `None` for any response but a 200. The next call goes to the next registry, unless this one
+    /// granted (200) or denied (409) the call.
+    async fn call(&mut self, step: &str, body: String) -> Option<GrantedCall> {
         let registry = self.registries[self.next_registry % self.registries.len()];
         let path = format!("/locks/{LOCK}/{step}");
         let sent_at = self.recorder.now();
@@ -149,21 +152,21 @@
         }
         let response = response.filter(|response| response.status == StatusCode::OK)?;
         let body = response.text()?.to_owned();
-        Some(Granted { sent_at, body })
+        Some(GrantedCall { sent_at, body })
     }
 
-    async fn pause(&mut self) {
+    async fn wait_before_retry(&mut self) {
         sleep(MAX_RETRY_DELAY.mul_f64(self.random.rand_float())).await;
     }
 }
 
-fn hold_text() -> String {
-    format!("{}ms", HOLD.as_millis())
+fn lease_text() -> String {
+    format!("{}ms", LEASE_DURATION.as_millis())
 }
 
-/// What came of the elections, in one line of the report.
+/// Formats the report line about the election.
 pub fn summary(terms: &[LeaderTerm]) -> String {
-    let terms = in_order(terms);
+    let terms = sorted_by_start(terms);
     let Some(first) = terms.first() else {
         return "election: nobody was elected".into();
     };
@@ -173,19 +176,19 @@
     let longest = gaps.clone().max().unwrap_or_default();
     let leaderless: Duration = gaps.sum();
     let last_until = terms.iter().map(|term| term.until).max();
-    let watched = last_until.unwrap_or_default().saturating_sub(first.from);
+    let observed_time = last_until.unwrap_or_default().saturating_sub(first.from);
     format!(
         "election: {} terms of {} candidates in {:.1} s; after leaders that fell silent nobody led for {:.2} s, {:.2} s at most at a time",
         terms.len(),
         CANDIDATES.len(),
-        watched.as_secs_f64(),
+        observed_time.as_secs_f64(),
         leaderless.as_secs_f64(),
         longest.as_secs_f64(),
     )
 }
 
-/// The terms in the order in which they began.
-pub fn in_order(terms: &[LeaderTerm]) -> Vec<LeaderTerm> {
+/// Returns the terms in the order in which they began.
+pub fn sorted_by_start(terms: &[LeaderTerm]) -> Vec<LeaderTerm> {
     let mut terms = terms.to_vec();
     terms.sort_by_key(|term| term.from);
     terms
--- a/crates/emberpin-demo/src/error.rs
+++ b/crates/emberpin-demo/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a demonstration could not be run to its end.
+//! The error type of the demonstration.
 
 use std::io;
 use std::path::PathBuf;
@@ -7,59 +7,59 @@
 /// Why a demonstration could not be run to its end.
 #[derive(Debug, thiserror::Error)]
 pub enum DemoError {
-    /// No range of ports is free on all machines.
+    /// No range of ports that was probed is free on all machines.
     #[error(
         "no {ports} ports in a row are free on every machine's address; the last try: {last_error}"
     )]
     NoFreePorts {
-        /// How many consecutive ports each machine needs.
+        /// The number of consecutive ports that each machine needs.
         ports: u16,
-        /// Why the last range that was probed could not be taken.
+        /// Why the last range that was probed is not free.
         #[source]
         last_error: io::Error,
     },
-    /// A file or folder that could not be written.
+    /// A file or folder could not be written.
     #[error("{path}: {source}")]
     File {
-        /// The file or folder.
+        /// The path of the file or folder.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A process that could not be started.
+    /// A process could not be started.
     #[error("{process}: cannot start: {source}")]
     ProcessStart {
         /// The role of the process and the address of its machine.
         process: String,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Something else that the system refused.
+    /// Another operation of the system failed.
     #[error("{operation}: {source}")]
     System {
-        /// What was wanted of the system.
+        /// The operation or resource that was requested.
         operation: &'static str,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A condition of the start that was not reached in time.
+    /// A condition of the start was not met in time.
     #[error("{condition} within {timeout:?}")]
     StartTimeout {
-        /// What is still so, as a clause: "not every edge was ready".
+        /// The unmet condition as a clause, for example "not every edge was ready".
         condition: &'static str,
-        /// How long it was waited for.
+        /// The time-out.
         timeout: Duration,
     },
-    /// A process of the gateway that ended during the start, with its status and last log line.
+    /// A process of the gateway exited during the start. The text has its status and last log line.
     #[error("{0}")]
     ProcessExited(String),
-    /// SIGINT or SIGTERM came.
+    /// SIGINT or SIGTERM was received.
     #[error("interrupted")]
     Interrupted,
 }
 
 impl DemoError {
-    /// For `map_err`: names the operation that the system refused.
+    /// Returns a function for `map_err` that adds the name of the failed operation.
     pub fn system(operation: &'static str) -> impl Fn(io::Error) -> DemoError {
         move |source| DemoError::System { operation, source }
     }
--- a/crates/emberpin-demo/src/gateway.rs
+++ b/crates/emberpin-demo/src/gateway.rs
@@ -1,4 +1,4 @@
-//! All processes of the gateway: started together, and each core machine killed and started again at will.
+//! Starts all processes of the gateway, and kills and restarts core machines.
 
 use crate::deployment::{Bounds, Deployment, Machine};
 use crate::error::DemoError;
@@ -11,14 +11,14 @@
 use tempfile::TempDir;
 use tokio::time::{interval, timeout};
 
-/// Far longer than a start takes; only a failure waits for it.
+/// Much longer than a successful start takes; only a failed start waits this long.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often it is checked during the start whether a process has ended.
+/// How often processes are checked for an unexpected exit during the start.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The processes of the gateway. Dropping it kills them.
 pub struct Gateway {
-    // Fields drop in this order: the processes end before the folder goes that has their disks in it.
+    // Fields are dropped in this order: the processes must end before the folder with their disks is removed.
     core: Vec<Vec<Process>>,
     edges: Vec<Process>,
     folder: TempDir,
@@ -27,11 +27,11 @@
 }
 
 impl Gateway {
-    /// Starts the processes of all machines for the first time.
+    /// Starts the processes of all machines of a new deployment.
     ///
     /// # Errors
     ///
-    /// [`DemoError`] of the first process that cannot be started.
+    /// The [`DemoError`] of the first process that cannot be started.
     pub fn start(
         deployment: Deployment,
         folder: TempDir,
@@ -56,7 +56,7 @@
         Ok(gateway)
     }
 
-    /// Where the machines are.
+    /// The addresses of the machines.
     pub fn deployment(&self) -> &Deployment {
         &self.deployment
     }
@@ -66,27 +66,27 @@
         self.bounds
     }
 
-    /// The folder of settings, disks and logs.
+    /// The folder with settings, disks and logs.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// Kills the processes of a core machine; its disk stays.
+    /// Kills the processes of a core machine and keeps its disk.
     pub fn kill_core(&mut self, index: usize) {
         self.core[index].clear();
     }
 
-    /// Starts the processes of a core machine again, on the disk that they left.
+    /// Restarts the processes of a core machine on its existing disk.
     ///
     /// # Errors
     ///
-    /// [`DemoError`] of the process that cannot be started.
+    /// The [`DemoError`] of the first process that cannot be started.
     pub fn restart_core(&mut self, index: usize) -> Result<(), DemoError> {
         self.core[index] = self.start_core(index, StartMode::Restart)?;
         Ok(())
     }
 
-    /// Describes each process that has ended without having been killed.
+    /// Describes each process that has exited without having been killed.
     pub fn exited_processes(&mut self) -> Vec<String> {
         self.core
             .iter_mut()
@@ -96,11 +96,12 @@
             .collect()
     }
 
-    /// Waits for a condition without which the run cannot begin; `unmet` says in a clause that it does not hold.
+    /// Waits for a condition without which the run cannot begin. The error for a time-out names it by the clause
+    /// `unmet`, for example "not every edge was ready".
     ///
     /// # Errors
     ///
-    /// [`DemoError::StartTimeout`], or [`DemoError::ProcessExited`] as soon as a process has ended.
+    /// [`DemoError::StartTimeout`], or [`DemoError::ProcessExited`] as soon as a process has exited.
     pub async fn wait_for<T>(
         &mut self,
         unmet: &'static str,
--- a/crates/emberpin-demo/src/http.rs
+++ b/crates/emberpin-demo/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 for the stand-ins: connections, and whole responses.
+//! A small HTTP/1.1 client for the stand-ins: connections, and responses that are read completely.
 
 use http_body_util::{BodyExt, Full};
 use hyper::body::Bytes;
@@ -16,45 +16,45 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A response that was read to its end.
+/// A complete response.
 pub struct HttpResponse {
     /// The status code.
     pub status: u16,
     /// The headers, without trailers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The body.
     pub body: Bytes,
 }
 
 impl HttpResponse {
-    /// Whether the status is one of the 2xx.
+    /// Whether the status is 2xx.
     pub fn is_success(&self) -> bool {
         is_success(self.status)
     }
 
-    /// The value of a header, if it is there and text.
+    /// The value of a header; `None` if it is missing or not text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// The body, if it is text.
+    /// The body as text; `None` if it is not UTF-8.
     pub fn text(&self) -> Option<&str> {
         std::str::from_utf8(&self.body).ok()
     }
 }
 
-/// Why a request has no response.
+/// Why there is no response to a request.
 #[derive(Debug, thiserror::Error)]
 pub enum SendError {
-    /// No byte of the request reached the other side: it is safe to send it again.
+    /// No byte of the request reached the peer: it is safe to send the request again.
     #[error("not sent")]
     NotSent,
-    /// The connection broke or the time was over after the request had begun: it may have run.
+    /// The connection failed or the time-out expired after the request had begun: the request may have run.
     #[error("broke off")]
     Broken,
 }
 
-/// Whether a status is one of the 2xx.
+/// Whether a status is 2xx.
 pub fn is_success(status: u16) -> bool {
     (200..300).contains(&status)
 }
@@ -63,9 +63,9 @@
 ///
 /// # Errors
 ///
-/// [`SendError::NotSent`] if it does not come up in time.
-pub async fn connect(to: SocketAddr) -> Result<Connection, SendError> {
-    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(to))
+/// [`SendError::NotSent`] if the connection is not established in time.
+pub async fn connect(address: SocketAddr) -> Result<Connection, SendError> {
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
         .map_err(|_| SendError::NotSent)?;
     let stream = stream.map_err(|_| SendError::NotSent)?;
@@ -77,11 +77,11 @@
     Ok(sender)
 }
 
-/// Sends a request and reads the response to its end.
+/// Sends a request and reads the complete response.
 ///
 /// # Errors
 ///
-/// [`SendError`] tells whether the request may have run.
+/// [`SendError`] distinguishes requests that were not sent from those that may have run.
 pub async fn send(
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
@@ -97,7 +97,7 @@
     })
 }
 
-/// hyper cancels a request of which it has written nothing.
+/// Maps an error of hyper, which reports a request as cancelled if it has written no byte of it.
 fn send_error(error: hyper::Error) -> SendError {
     if error.is_canceled() {
         SendError::NotSent
@@ -106,21 +106,21 @@
     }
 }
 
-/// Sends one request with a JSON body on a connection of its own; `None` if there is no response in time.
+/// Sends one request with a JSON body on a new connection; `None` if there is no complete response in time.
 pub async fn call(
-    to: SocketAddr,
+    address: SocketAddr,
     method: Method,
     path: &str,
     body: String,
-    limit: Duration,
+    time_limit: Duration,
 ) -> Option<HttpResponse> {
     let request = Request::builder()
         .method(method)
         .uri(path)
-        .header(HOST, to.to_string())
+        .header(HOST, address.to_string())
         .header(CONTENT_TYPE, "application/json")
         .body(Full::from(body))
         .ok()?;
-    let exchange = async { send(&mut connect(to).await?, request).await };
-    timeout(limit, exchange).await.ok()?.ok()
+    let exchange = async { send(&mut connect(address).await?, request).await };
+    timeout(time_limit, exchange).await.ok()?.ok()
 }
--- a/crates/emberpin-demo/src/invariants.rs
+++ b/crates/emberpin-demo/src/invariants.rs
@@ -1,6 +1,7 @@
-//! The invariant checker: judges the record of the stand-ins, and nothing that the gateway says of itself.
+//! The invariant checker. It checks only the record of the stand-ins' observations, and nothing that the gateway
+//! reports about itself.
 
-use crate::election::in_order;
+use crate::election::sorted_by_start;
 use crate::record::{Attempt, Evacuation, LeaderTerm, Record};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,36 +14,36 @@
     RanTwice {
         /// The `try-id` of the attempt.
         id: String,
-        /// How many servers, or runs of one, worked on it.
+        /// The number of runs, at one or several servers.
         runs: usize,
     },
-    /// A mutating attempt got a status that guarantees that it has not run, and yet it ran.
+    /// A mutating attempt ran, although its status guarantees that it has not run.
     #[error("mutating try {id} was answered {status}, and yet it ran")]
     RanAfterRejection {
         /// The `try-id` of the attempt.
         id: String,
-        /// The status that the client got.
+        /// The status that the client received.
         status: u16,
     },
-    /// A request reached an evacuated zone after the bound.
-    #[error("try {id} reached the evacuated zone {zone} {late:.1?} after its time")]
+    /// A request reached an evacuated zone after the bound had passed.
+    #[error("try {id} reached the evacuated zone {zone} {lateness:.1?} after its time")]
     ReachedEvacuatedZone {
         /// The `try-id` of the attempt.
         id: String,
         /// The evacuated zone.
         zone: String,
         /// How long after the bound it arrived.
-        late: Duration,
+        lateness: Duration,
     },
-    /// The configuration that was read back is not the one that was acknowledged.
-    #[error("read back: {item} {what}")]
+    /// The configuration that was read back differs from the acknowledged one.
+    #[error("read back: {item} {description}")]
     ReadBack {
-        /// Kind and name of the item that differs.
+        /// The kind and name of the item that differs.
         item: String,
-        /// How it differs, as the rest of the sentence.
-        what: &'static str,
+        /// How the item differs, as the predicate of the error message.
+        description: &'static str,
     },
-    /// A client got a success that no server gave to its attempt.
+    /// A client received a success that is not a server's response to its attempt.
     #[error("try {id} got a success that is not its server's answer")]
     ForeignResponse {
         /// The `try-id` of the attempt.
@@ -51,38 +52,38 @@
     /// A server ran an attempt that no client sent.
     #[error("a server ran {id}, which no client sent")]
     UnknownAttempt {
-        /// The `try-id` header that the server saw.
+        /// The `try-id` header that the server received.
         id: String,
     },
     /// A valid command of the operator was not acknowledged.
     #[error("{0} was not acknowledged")]
     Unacknowledged(String),
-    /// Two candidates counted themselves leader at the same time.
+    /// Two candidates considered themselves the leader at the same time.
     #[error("{first} and {second} both led for {overlap:.1?}")]
     TwoLeaders {
-        /// Who led first.
+        /// The candidate whose term began first.
         first: &'static str,
-        /// Who was elected before that term was over.
+        /// The candidate that was elected before that term was over.
         second: &'static str,
-        /// For how long both did.
+        /// The duration of the overlap.
         overlap: Duration,
     },
-    /// A later leader has no higher fencing token.
-    #[error("{candidate} was elected with fence {fence} after {earlier}")]
-    FenceNotRising {
-        /// Who was elected.
+    /// A later leader's fencing token is not higher than that of an earlier leader.
+    #[error("{candidate} was elected with fence {fencing_token} after {earlier_token}")]
+    FencingTokenNotIncreasing {
+        /// The candidate that was elected later.
         candidate: &'static str,
-        /// Its fencing token.
-        fence: u64,
-        /// The token of the other candidate that led before.
-        earlier: u64,
+        /// The fencing token of that candidate.
+        fencing_token: u64,
+        /// The fencing token of the earlier leader.
+        earlier_token: u64,
     },
-    /// A process ended without having been killed.
+    /// A process exited without having been killed.
     #[error("{0}")]
     ProcessExited(String),
 }
 
-/// Whether a status guarantees that the request has not run and never will.
+/// Whether a status guarantees that the request has not run and will not run.
 pub fn guarantees_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
@@ -112,7 +113,7 @@
         let runs = runs.remove(attempt.id.as_str()).unwrap_or(0);
         violations.extend(check_attempt(attempt, runs));
     }
-    // The runs that are left belong to no attempt.
+    // The remaining runs belong to no attempt.
     let mut unknown: Vec<&str> = runs.into_keys().collect();
     unknown.sort_unstable();
     let unknown = unknown.into_iter().map(str::to_owned);
@@ -154,17 +155,18 @@
         .map(|arrival| Violation::ReachedEvacuatedZone {
             id: arrival.attempt_id.clone(),
             zone: arrival.zone.clone(),
-            late: arrival.at - from,
+            lateness: arrival.at - from,
         })
         .collect()
 }
 
-/// Checks that one candidate led at a time. One that is elected again goes on with its own term.
+/// Checks that at most one candidate led at a time and that fencing tokens increase from one leader to the next. Terms
+/// of the same candidate may overlap, because a candidate that is elected again continues its own term.
 fn check_leaders(terms: &[LeaderTerm]) -> Vec<Violation> {
-    let terms = in_order(terms);
+    let terms = sorted_by_start(terms);
     let mut violations = Vec::new();
-    for (n, term) in terms.iter().enumerate() {
-        let others = terms[..n]
+    for (index, term) in terms.iter().enumerate() {
+        let others = terms[..index]
             .iter()
             .filter(|other| other.candidate != term.candidate);
         for other in others {
@@ -175,11 +177,11 @@
                     overlap: other.until.min(term.until) - term.from,
                 });
             }
-            if other.fence >= term.fence {
-                violations.push(Violation::FenceNotRising {
+            if other.fencing_token >= term.fencing_token {
+                violations.push(Violation::FencingTokenNotIncreasing {
                     candidate: term.candidate,
-                    fence: term.fence,
-                    earlier: other.fence,
+                    fencing_token: term.fencing_token,
+                    earlier_token: other.fencing_token,
                 });
             }
         }
@@ -188,9 +190,9 @@
 }
 
 fn check_read_back(record: &Record) -> Vec<Violation> {
-    let violation = |item: &str, what| Violation::ReadBack {
+    let violation = |item: &str, description| Violation::ReadBack {
         item: item.into(),
-        what,
+        description,
     };
     let Some(read_back) = &record.read_back else {
         return vec![violation("the configuration", "did not come")];
@@ -203,12 +205,12 @@
             Some(shown) if shown != acknowledged => Some("differs"),
             Some(_) => None,
         };
-        violations.extend(difference.map(|what| violation(item, what)));
+        violations.extend(difference.map(|description| violation(item, description)));
     }
     for item in read_back.keys() {
         if !record.acknowledged_items.contains_key(item) {
-            let what = "is there, though it was dropped or never sent";
-            violations.push(violation(item, what));
+            let description = "is there, though it was dropped or never sent";
+            violations.push(violation(item, description));
         }
     }
     violations
--- a/crates/emberpin-demo/src/lib.rs
+++ b/crates/emberpin-demo/src/lib.rs
@@ -1,9 +1,11 @@
-//! The whole gateway at work on loopback, for whoever meets it first.
+//! A demonstration that runs the whole gateway on loopback, under traffic and faults, and checks its invariants.
 //!
-//! [`scenario`] runs the demonstration. The core machines and edges of a [`deployment`] are processes of their own, which
-//! [`gateway`] starts and kills; the servers, the operator and the clients are stand-ins in this process, and note in the
-//! [`record`] what they observe. Two of the clients elect a leader by a lock ([`election`]). Meanwhile a core machine is killed and a server crashes. At the end the [`report`] sums
-//! the record up, with every violation that [`invariants`] finds in it.
+//! [`scenario`] runs the demonstration. The core machines and edges of a [`deployment`] run as separate processes,
+//! which [`gateway`] starts and kills. The servers, the operator and the clients are stand-ins in this process, which
+//! write their observations to the [`record`]. Two candidates elect a leader with a lock of the gateway ([`election`]).
+//! Meanwhile a core machine is killed and restarted, a server crashes, another one shuts down gracefully, the
+//! configuration changes and a zone is evacuated. At the end the [`report`] summarizes the record, with every violation
+//! that [`invariants`] finds in it.
 #![forbid(unsafe_code)]
 
 pub mod clients;
--- a/crates/emberpin-demo/src/main.rs
+++ b/crates/emberpin-demo/src/main.rs
@@ -1,4 +1,5 @@
-//! `emberpin-demo`: the newcomer's command, and, by a first argument, each of the gateway's programs.
+//! The program `emberpin-demo`: runs the demonstration or, if the first argument names a role, one of the gateway's
+//! programs.
 #![forbid(unsafe_code)]
 
 use emberpin_demo::command_line::{self, Command};
@@ -7,7 +8,7 @@
 use std::fmt::Display;
 use std::process::ExitCode;
 
-/// Exit status when the demonstration could not be run.
+/// Exit status if the arguments are invalid or the demonstration could not be run to its end.
 const EXIT_UNUSABLE: u8 = 2;
 
 fn main() -> ExitCode {
@@ -23,7 +24,7 @@
             ExitCode::SUCCESS
         }
         Ok(Command::Run(options)) => run(&options),
-        Err(error) => unusable(&error),
+        Err(error) => fail_unusable(&error),
     }
 }
 
@@ -37,11 +38,11 @@
                 ExitCode::FAILURE
             }
         }
-        Err(error) => unusable(&error),
+        Err(error) => fail_unusable(&error),
     }
 }
 
-fn unusable(error: &dyn Display) -> ExitCode {
+fn fail_unusable(error: &dyn Display) -> ExitCode {
     eprintln!("emberpin-demo: {error}");
     ExitCode::from(EXIT_UNUSABLE)
 }
--- a/crates/emberpin-demo/src/node_settings.rs
+++ b/crates/emberpin-demo/src/node_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process, in the form in which the platform writes it.
+//! Generates the settings file of a process, in the format that the platform writes.
 
 use crate::deployment::{Bounds, Deployment, Machine, ZONES};
 use crate::role::Role;
@@ -11,29 +11,29 @@
 /// Whether a process starts for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartMode {
-    /// The machines found the deployment together.
+    /// First start: the machines create the deployment together.
     Bootstrap,
-    /// The machine joins a deployment that exists.
+    /// The machine joins an existing deployment.
     Restart,
 }
 
-/// What the settings of one process depend on.
+/// The inputs of a process's settings file.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeSettings<'a> {
     /// The addresses of all machines.
     pub deployment: &'a Deployment,
-    /// The time bounds, the same for all processes.
+    /// The time bounds, which are the same for all processes.
     pub bounds: Bounds,
     /// The program that the process runs.
     pub role: Role,
-    /// The machine that it runs on.
+    /// The machine that the process runs on.
     pub machine: Machine,
-    /// Whether the machine founds the deployment.
+    /// Whether the machine creates the deployment or joins it.
     pub start_mode: StartMode,
 }
 
 impl NodeSettings<'_> {
-    /// The text of the settings file, with the folder that is the machine's disk.
+    /// The text of the settings file. `disk` is the folder that serves as the machine's disk.
     pub fn to_toml(&self, disk: &Path) -> String {
         let mut text = self.self_section(disk);
         text += "[self.limits]\ncpu_quota = 1.0\nncpu = 1\nmem_mb = 260\nnofile = 1000\nlink_mbps = 1000.0\n";
@@ -56,7 +56,7 @@
              ip = \"{ip}\"\naz = \"{zone}\"\nrgn = \"{REGION}\"\nvoting = {is_core}\nbootstrap = {bootstrap}\n",
             self.role.name()
         );
-        // Both processes of a core machine are given the disk; only the store writes to it.
+        // Both processes of a core machine get the path of the disk; only the store writes to it.
         if is_core {
             _ = writeln!(text, "datadir = \"{}\"", disk.display());
         }
--- a/crates/emberpin-demo/src/operator.rs
+++ b/crates/emberpin-demo/src/operator.rs
@@ -1,4 +1,4 @@
-//! The stand-in operator: sends configurations, evacuates a zone, and reads the configuration back.
+//! The stand-in operator: changes the configuration, evacuates a zone, and reads the configuration back.
 
 use crate::configuration::{apply_patch, change_patch, first_patch, items};
 use crate::http::{self, HttpResponse};
@@ -10,23 +10,23 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// A registry that does not respond in this time is passed over.
+/// The next registry is called if one does not respond within this time.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// The backoff before the first retry; each is twice the one before, up to the longest.
+/// The backoff before the first retry; it doubles with each retry, up to `MAX_BACKOFF`.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// How many redirects of one call are followed.
+/// The maximum number of redirects that one call follows.
 const MAX_REDIRECTS: usize = 2;
-/// A command that no registry has acknowledged by then is given up.
+/// A command fails if no registry has acknowledged it within this time.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Calls the registries in turn, and records what they acknowledge.
+/// Sends commands to the registries in turn, and records which ones they acknowledge.
 pub struct Operator {
     registries: Vec<SocketAddr>,
     recorder: Recorder,
 }
 
-/// Why a command has no success: what the last registry said.
+/// Why a command failed: the result of the last attempt.
 #[derive(Clone, Debug, thiserror::Error)]
 enum CommandError {
     #[error("nobody was asked")]
@@ -42,7 +42,7 @@
 }
 
 impl CommandError {
-    /// Whether every registry would respond so: the command itself is at fault.
+    /// Whether every registry would reject the command, because the command itself is at fault.
     fn is_final(&self) -> bool {
         match self {
             CommandError::NotSent | CommandError::NoResponse(_) => false,
@@ -54,7 +54,7 @@
 }
 
 impl Operator {
-    /// An operator who calls these registries, the first one first.
+    /// Creates an operator that calls these registries in this order.
     pub fn new(registries: Vec<SocketAddr>, recorder: Recorder) -> Operator {
         Operator {
             registries,
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Sends the first configuration; returns when it was acknowledged.
+    /// Sends the first configuration; returns the time of the acknowledgement.
     pub async fn send_first_configuration(&self) -> Option<Duration> {
         self.patch("the first configuration", &first_patch()).await
     }
 
-    /// Sends the configuration change; returns when it was acknowledged.
+    /// Sends the configuration change; returns the time of the acknowledgement.
     pub async fn change_configuration(&self) -> Option<Duration> {
         self.patch("the change", &change_patch()).await
     }
@@ -78,8 +78,8 @@
         Some(acknowledged_at)
     }
 
-    /// Evacuates a zone, which no request may reach once `bound` has passed since the acknowledgement; returns when
-    /// that was.
+    /// Begins the evacuation of a zone; returns the time of the acknowledgement. No request may reach the zone once
+    /// `bound` has passed since then.
     pub async fn begin_evacuation(&self, zone: &str, bound: Duration) -> Option<Duration> {
         let path = format!("/evac/{zone}/begin");
         let acknowledged_at = self.post("the evacuation", &path, String::new()).await?;
@@ -92,10 +92,11 @@
         Some(acknowledged_at)
     }
 
-    /// Ends the evacuation of a zone; returns when that was asked for.
+    /// Ends the evacuation of a zone; returns the time of the request.
     pub async fn finish_evacuation(&self, zone: &str) -> Duration {
         let requested_at = self.recorder.now();
-        // Recorded first: requests may reach the zone before the acknowledgement comes.
+        // Recorded before the request is sent, because requests may reach the zone before the acknowledgement is
+        // received.
         for evacuation in &mut self.recorder.lock().evacuations {
             if evacuation.zone == zone {
                 evacuation.finish_requested_at = Some(requested_at);
@@ -114,7 +115,7 @@
         self.recorder.lock().read_back = configuration.as_ref().map(items);
     }
 
-    /// Sends a command until it is acknowledged or rejected; returns when it was acknowledged.
+    /// Sends a command until it is acknowledged or rejected; returns the time of the acknowledgement.
     async fn post(&self, command: &str, path: &str, body: String) -> Option<Duration> {
         match self.call(Method::POST, path, body).await {
             Ok(_) => Some(self.recorder.now()),
@@ -127,13 +128,14 @@
         }
     }
 
-    /// Calls one registry after the other until one has a clear answer; returns the body of a success.
+    /// Calls one registry after the other until one acknowledges or finally rejects the command; returns the body of
+    /// the 2xx response.
     async fn call(&self, method: Method, path: &str, body: String) -> Result<String, CommandError> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut backoff = INITIAL_BACKOFF;
         let mut last_error = CommandError::NotSent;
         for registry in self.registries.iter().cycle() {
-            if began.elapsed() >= COMMAND_TIMEOUT {
+            if started_at.elapsed() >= COMMAND_TIMEOUT {
                 break;
             }
             let (method, body) = (method.clone(), body.clone());
@@ -152,7 +154,7 @@
     }
 }
 
-/// Calls a registry, and what it redirects to.
+/// Calls a registry and follows its redirects.
 async fn call_following_redirects(
     registry: SocketAddr,
     method: Method,
@@ -172,7 +174,7 @@
     http::call(registry, method, &path, body, CALL_TIMEOUT).await
 }
 
-/// Where a response redirects to.
+/// The target of a 307 response.
 fn redirect_target(response: &HttpResponse) -> Option<Uri> {
     if response.status != StatusCode::TEMPORARY_REDIRECT.as_u16() {
         return None;
--- a/crates/emberpin-demo/src/process.rs
+++ b/crates/emberpin-demo/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of the gateway: this executable again, in a role.
+//! A process of the gateway: this executable, started in a role.
 
 use crate::error::DemoError;
 use crate::node_settings::NodeSettings;
@@ -8,7 +8,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// A process of the gateway. Dropping it kills the process and waits for its end, on every way out of a run.
+/// A running process of the gateway. Dropping it kills the process and waits for its exit, so that no process outlives
+/// a run, however the run ends.
 pub struct Process {
     name: String,
     log: PathBuf,
@@ -16,7 +17,7 @@
 }
 
 impl Process {
-    /// Starts this executable again in the role of the settings; its settings file, log and disk are in `folder`.
+    /// Starts this executable in the role of the settings. Its settings file, log and disk are in `folder`.
     ///
     /// # Errors
     ///
@@ -43,7 +44,8 @@
         }
     }
 
-    /// If the process has ended by itself: its name, exit status and last log line, as a sentence.
+    /// Describes the exit of a process that was not killed, with its name, exit status and last log line; `None` while
+    /// it runs.
     pub fn exit_description(&mut self) -> Option<String> {
         let status = self.child.try_wait().ok().flatten()?;
         let log = fs::read_to_string(&self.log).unwrap_or_default();
--- a/crates/emberpin-demo/src/record.rs
+++ b/crates/emberpin-demo/src/record.rs
@@ -1,62 +1,62 @@
-//! What the stand-ins observe on their own sockets, recorded as it happens.
+//! The record of a run: the observations that the stand-ins make on their own sockets, written as they happen.
 
 use jzon::JsonValue;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A request that reached a server and was meant for it: one that names another instance is not recorded.
+/// A request that reached the server that it was addressed to. Requests that name another instance are not recorded.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When the request came, since the recorder was made.
+    /// When the request arrived, since the recorder was created.
     pub at: Duration,
-    /// The `try-id` header, which names the client's attempt.
+    /// The `try-id` header, which identifies the client's attempt.
     pub attempt_id: String,
-    /// The zone of the server, checked against evacuations.
+    /// The zone of the server, which is checked against evacuations.
     pub zone: String,
-    /// Whether the server began to work on it, rather than reject it.
+    /// Whether the server ran the request instead of rejecting it.
     pub ran: bool,
-    /// From the arrival to the response; `None` if there was no success.
+    /// The time from the arrival to the response; `None` if there was no success.
     pub service_time: Option<Duration>,
 }
 
-/// One attempt of a client at a request.
+/// One attempt of a client to send a request.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The unique value of the `try-id` header.
     pub id: String,
-    /// Whether it may run once at most.
+    /// Whether the attempt may run at most once.
     pub is_mutating: bool,
-    /// The status of the response; `None` until one came.
+    /// The status of the response; `None` until a response is received.
     pub status: Option<u16>,
-    /// Whether the response was a success that no server gave to this attempt.
+    /// Whether the response was a success that is not a server's response to this attempt.
     pub has_foreign_response: bool,
 }
 
-/// How a client's request ended, over all its attempts.
+/// The outcome of a client's request, over all of its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Within its deadline, with the server's own response.
+    /// A server's response was received within the deadline.
     Served,
-    /// With a status that guarantees that it has not run.
-    Refused,
-    /// Too late, with an error, or without a response.
+    /// The status guarantees that the request has not run.
+    Rejected,
+    /// The request ended too late, with an error, or without a response.
     Failed,
 }
 
-/// A request of a client, once it has ended.
+/// A finished request of a client.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// The name of its route, by which the report groups requests.
+    /// The name of the route, by which the report groups requests.
     pub route: &'static str,
-    /// How it ended.
+    /// The outcome of the request.
     pub outcome: Outcome,
-    /// From the first attempt to the end of the last, with the pauses between them.
+    /// The time from the start of the first attempt to the end of the last, including backoffs.
     pub latency: Duration,
-    /// The last attempt, which connects it with an [`Arrival`].
+    /// The id of the last attempt, which links the request to an [`Arrival`].
     pub attempt_id: String,
     /// Whether there was only one attempt.
-    pub is_first_attempt: bool,
+    pub has_single_attempt: bool,
 }
 
 /// The evacuation of a zone.
@@ -64,31 +64,32 @@
 pub struct Evacuation {
     /// The zone that no request may reach.
     pub zone: String,
-    /// When its begin was acknowledged.
+    /// When the begin of the evacuation was acknowledged.
     pub acknowledged_at: Duration,
-    /// How long after the acknowledgement requests may still arrive.
+    /// The time after the acknowledgement in which requests may still arrive.
     pub bound: Duration,
-    /// When the operator asked for its end; requests may arrive again from then on.
+    /// When the operator requested the end of the evacuation; requests may arrive again from then on.
     pub finish_requested_at: Option<Duration>,
 }
 
-/// The time in which a candidate counted itself leader.
+/// The time in which a candidate considered itself the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaderTerm {
-    /// Who led.
+    /// The name of the candidate.
     pub candidate: &'static str,
     /// The fencing token of the term.
-    pub fence: u64,
+    pub fencing_token: u64,
     /// When the candidate learned that it was elected.
     pub from: Duration,
-    /// When its hold was over, counted from the send of its last good call.
+    /// When its lease expired, counted from when it sent its last successful call.
     pub until: Duration,
 }
 
-/// The configuration by item: the key is kind and name, the value has the version and all fields.
+/// The items of a configuration. The key is the kind and name of the item, the value its JSON with the version and all
+/// fields.
 pub type ConfigItems = BTreeMap<String, JsonValue>;
 
-/// All that was observed in a run.
+/// All observations of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
     /// Requests that reached servers, in order.
@@ -99,47 +100,48 @@
     pub requests: Vec<ClientRequest>,
     /// Evacuations whose begin was acknowledged.
     pub evacuations: Vec<Evacuation>,
-    /// The terms of elected candidates, in the order in which they learned of them.
+    /// The terms of elected candidates, in the order in which the candidates learned of them.
     pub leader_terms: Vec<LeaderTerm>,
     /// The configuration that results from all acknowledged changes.
     pub acknowledged_items: ConfigItems,
-    /// The configuration as the gateway shows it at the end; `None` if no response came.
+    /// The configuration that the gateway returns at the end; `None` if there was no response.
     pub read_back: Option<ConfigItems>,
-    /// Valid commands of the operator that were not acknowledged, each with the last response.
+    /// Valid commands of the operator that were not acknowledged, each with the result of the last attempt.
     pub unacknowledged_commands: Vec<String>,
-    /// Processes that ended without having been killed, each with its status and last log line.
+    /// Processes that exited without having been killed, each with its status and last log line.
     pub exited_processes: Vec<String>,
 }
 
 /// Shares one record among all stand-ins, with one clock.
 #[derive(Clone)]
 pub struct Recorder {
-    began: Instant,
+    started_at: Instant,
     record: Arc<Mutex<Record>>,
 }
 
 impl Default for Recorder {
     fn default() -> Recorder {
         Recorder {
-            began: Instant::now(),
+            started_at: Instant::now(),
             record: Arc::default(),
         }
     }
 }
 
 impl Recorder {
-    /// Time since the recorder was made.
+    /// The time since the recorder was created.
     pub fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Locks the record, to add to it or to read it.
+    /// Locks the record for reading or writing.
     pub fn lock(&self) -> MutexGuard<'_, Record> {
         lock(&self.record)
     }
 }
 
-/// Locks a mutex of the stand-ins, also after a panic of another task: each change of what they guard is complete.
+/// Locks a mutex of the stand-ins and ignores poisoning: the guarded data is consistent even after a panic of another
+/// task, because each change of it is complete.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/emberpin-demo/src/report.rs
+++ b/crates/emberpin-demo/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run comes to: a table of routes, a few lines on its events, and the verdict.
+//! The report of a run: a table of routes, one line for each kind of event, and the verdict.
 
 use crate::invariants::{check, Violation};
 use crate::record::{ClientRequest, Outcome, Record};
@@ -7,53 +7,53 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The fraction of the requests that must be served for a run to be good.
+/// The minimum fraction of requests that must be served in a good run.
 pub const MIN_SERVED_FRACTION: f64 = 0.95;
-/// How many violations are printed at most.
+/// The maximum number of violations that are printed.
 const MAX_VIOLATIONS_SHOWN: usize = 10;
 
-/// What became of the requests on a route.
+/// The outcomes of the requests on a route.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteSummary {
     /// The name of the route.
     pub route: &'static str,
-    /// All requests that ended; the sum of the three numbers below.
+    /// The number of finished requests: the sum of the three numbers below.
     pub requests: usize,
-    /// Requests with [`Outcome::Served`].
+    /// The number of requests with [`Outcome::Served`].
     pub served: usize,
-    /// Requests with [`Outcome::Refused`].
-    pub refused: usize,
-    /// Requests with [`Outcome::Failed`].
+    /// The number of requests with [`Outcome::Rejected`].
+    pub rejected: usize,
+    /// The number of requests with [`Outcome::Failed`].
     pub failed: usize,
-    /// Over requests that were served at the first attempt; `None` if there are none.
-    pub added: Option<AddedLatency>,
+    /// The latency added to requests that were served at the first attempt; `None` if there are none.
+    pub added_latency: Option<AddedLatency>,
 }
 
-/// Percentiles of the latency that the gateway adds to the server's own time.
+/// Percentiles of the latency that the gateway adds to the server's service time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AddedLatency {
-    /// Half of the requests had less added than this.
+    /// The median.
     pub p50: Duration,
-    /// One request in a hundred had more added than this.
+    /// The 99th percentile.
     pub p99: Duration,
 }
 
-/// A run, judged.
+/// The report of a run.
 #[derive(Clone, Debug)]
 pub struct Report {
     /// One line that names the program, the size of the deployment and the options.
     pub title: String,
     /// One summary for each route.
     pub routes: Vec<RouteSummary>,
-    /// What happened meanwhile, one line each.
+    /// One line for each kind of event.
     pub events: Vec<String>,
-    /// Invariants that were violated.
+    /// The violations of invariants.
     pub violations: Vec<Violation>,
 }
 
 impl Report {
-    /// Checks the record and sums it up by route.
-    pub fn of(title: String, events: Vec<String>, record: &Record) -> Report {
+    /// Checks the record and summarizes it by route.
+    pub fn from_record(title: String, events: Vec<String>, record: &Record) -> Report {
         let service_times: HashMap<&str, Duration> = record
             .arrivals
             .iter()
@@ -62,7 +62,7 @@
         let routes = ROUTES.iter().map(|route| {
             let requests = record.requests.iter();
             let requests = requests.filter(|request| request.route == route.name);
-            RouteSummary::of(route.name, &requests.collect::<Vec<_>>(), &service_times)
+            RouteSummary::from_requests(route.name, &requests.collect::<Vec<_>>(), &service_times)
         });
         Report {
             title,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The fraction of all requests that were served; zero without requests.
+    /// The fraction of all requests that were served; 0 if there are no requests.
     pub fn served_fraction(&self) -> f64 {
         let requests: usize = self.routes.iter().map(|route| route.requests).sum();
         let served: usize = self.routes.iter().map(|route| route.served).sum();
@@ -82,14 +82,14 @@
         served as f64 / requests as f64
     }
 
-    /// Whether every invariant held and enough requests were served.
+    /// Whether no invariant was violated and at least [`MIN_SERVED_FRACTION`] of the requests were served.
     pub fn is_good(&self) -> bool {
         self.violations.is_empty() && self.served_fraction() >= MIN_SERVED_FRACTION
     }
 }
 
 impl RouteSummary {
-    fn of(
+    fn from_requests(
         route: &'static str,
         requests: &[&ClientRequest],
         service_times: &HashMap<&str, Duration>,
@@ -102,8 +102,8 @@
         };
         let at_first_attempt = requests
             .iter()
-            .filter(|request| request.is_first_attempt && request.outcome == Outcome::Served);
-        let added = at_first_attempt.filter_map(|request| {
+            .filter(|request| request.has_single_attempt && request.outcome == Outcome::Served);
+        let added_latency = at_first_attempt.filter_map(|request| {
             let service_time = service_times.get(request.attempt_id.as_str())?;
             Some(request.latency.saturating_sub(*service_time))
         });
@@ -111,15 +111,15 @@
             route,
             requests: requests.len(),
             served: count(Outcome::Served),
-            refused: count(Outcome::Refused),
+            rejected: count(Outcome::Rejected),
             failed: count(Outcome::Failed),
-            added: AddedLatency::of(added.collect()),
+            added_latency: AddedLatency::from_samples(added_latency.collect()),
         }
     }
 }
 
 impl AddedLatency {
-    fn of(mut samples: Vec<Duration>) -> Option<AddedLatency> {
+    fn from_samples(mut samples: Vec<Duration>) -> Option<AddedLatency> {
         samples.sort_unstable();
         let last = samples.len().checked_sub(1)?;
         let percentile =
@@ -131,8 +131,8 @@
     }
 }
 
-/// A duration in milliseconds with one decimal.
-pub fn millis(time: Duration) -> String {
+/// Formats a duration in milliseconds with one decimal.
+pub fn format_millis(time: Duration) -> String {
     format!("{:.1} ms", time.as_secs_f64() * 1000.0)
 }
 
@@ -156,21 +156,24 @@
             "route", "requests", "served", "refused", "failed", "p50 added", "p99 added"
         )?;
         for summary in &self.routes {
-            let (p50, p99) = match summary.added {
-                Some(added) => (millis(added.p50), millis(added.p99)),
+            let (p50, p99) = match summary.added_latency {
+                Some(added_latency) => (
+                    format_millis(added_latency.p50),
+                    format_millis(added_latency.p99),
+                ),
                 None => ("-".into(), "-".into()),
             };
             let RouteSummary {
                 route,
                 requests,
                 served,
-                refused,
+                rejected,
                 failed,
                 ..
             } = summary;
             writeln!(
                 f,
-                "{route:<9}{requests:>9}{served:>9}{refused:>9}{failed:>9}{p50:>11}{p99:>11}"
+                "{route:<9}{requests:>9}{served:>9}{rejected:>9}{failed:>9}{p50:>11}{p99:>11}"
             )?;
         }
         Ok(())
--- a/crates/emberpin-demo/src/role.rs
+++ b/crates/emberpin-demo/src/role.rs
@@ -1,4 +1,4 @@
-//! The gateway's programs, each of which this executable can run as.
+//! The programs of the gateway. This executable can run as each of them.
 
 use nix::sys::{prctl, signal::Signal};
 use nix::unistd::getppid;
@@ -10,16 +10,16 @@
 pub enum Role {
     /// Replicates and persists the configuration, on core machines.
     Store,
-    /// Serves the operators' and servers' HTTP API, on core machines.
+    /// Serves the HTTP API for operators and servers, on core machines.
     Registry,
-    /// Forwards the clients' requests, on edges.
+    /// Forwards the requests of clients, on edges.
     Proxy,
 }
 
 impl Role {
     const ALL: [Role; 3] = [Role::Store, Role::Registry, Role::Proxy];
 
-    /// The name in settings files, and the first argument by which this executable runs as the program.
+    /// The name of the role in settings files, and the first argument that makes this executable run the program.
     pub fn name(self) -> &'static str {
         match self {
             Role::Store => "store",
@@ -28,18 +28,18 @@
         }
     }
 
-    /// The program of this name.
+    /// The role with this name.
     pub fn from_name(name: &str) -> Option<Role> {
         Role::ALL.into_iter().find(|role| role.name() == name)
     }
 
-    /// Runs the program in this process; the first argument is the id of the process that started it.
+    /// Runs the program in this process. The first argument is the process id of the parent, which started it.
     pub fn run(self, mut arguments: impl Iterator<Item = OsString>) -> ExitCode {
-        // Whatever ends the newcomer's command, even SIGKILL, ends its machines.
+        // The kernel kills this process when its parent ends, even if the parent is ended by SIGKILL.
         _ = prctl::set_pdeathsig(Signal::SIGKILL);
         let parent = arguments.next().and_then(|id| id.to_str()?.parse().ok());
         if parent != Some(getppid().as_raw()) {
-            // The parent ended before the signal was set: nobody would end this process.
+            // The parent had ended before the signal was set, so that nothing would end this process.
             return ExitCode::FAILURE;
         }
         match self {
--- a/crates/emberpin-demo/src/routes.rs
+++ b/crates/emberpin-demo/src/routes.rs
@@ -1,4 +1,4 @@
-//! The routes that clients send requests on; they match the [`crate::configuration`].
+//! The routes that clients send requests to. They match those of [`crate::configuration`].
 
 use crate::configuration::{ADDED_ROUTE_PREFIX, CHARTS_HOST, LEDGER_HOST, REMOVED_ROUTE_PREFIX};
 use std::time::Duration;
@@ -6,29 +6,29 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// Any number of runs has the same effect as one.
+    /// The request may run any number of times, with the same effect as once.
     Readonly,
-    /// Must run once at most.
+    /// The request must run at most once.
     Mutating,
 }
 
-/// A route, as clients use it.
+/// The clients' view of a route.
 pub struct Route {
-    /// The name in the configuration.
+    /// The name of the route in the configuration.
     pub name: &'static str,
     /// The `host` header.
     pub host: &'static str,
-    /// What paths begin with.
+    /// The path prefix.
     pub prefix: &'static str,
-    /// Decides the method, and whether an attempt that may have run is retried.
+    /// The kind, which decides the HTTP method and whether an attempt that may have run is retried.
     pub kind: RouteKind,
-    /// A client gives a request up after this time, over all attempts.
+    /// The maximum time of a request over all attempts, after which it fails.
     pub deadline: Duration,
-    /// How many requests clients send each second.
+    /// The number of requests that clients send per second.
     pub requests_per_second: f64,
 }
 
-/// The routes that clients use all the time.
+/// The routes that clients use during the whole run.
 pub static ROUTES: [Route; 2] = [
     Route {
         name: "look-up",
@@ -48,12 +48,13 @@
     },
 ];
 
-/// The route that the configuration change adds: in force where it exists.
-pub static ADDED_ROUTE: Route = change_probe(ADDED_ROUTE_PREFIX);
-/// The route that the configuration change removes: in force where it does not exist.
-pub static REMOVED_ROUTE: Route = change_probe(REMOVED_ROUTE_PREFIX);
+/// The route that the configuration change adds. The change is in force at an edge only if the route exists there.
+pub static ADDED_ROUTE: Route = change_probe_route(ADDED_ROUTE_PREFIX);
+/// The route that the configuration change removes. The change is in force at an edge only if the route does not exist
+/// there.
+pub static REMOVED_ROUTE: Route = change_probe_route(REMOVED_ROUTE_PREFIX);
 
-const fn change_probe(prefix: &'static str) -> Route {
+const fn change_probe_route(prefix: &'static str) -> Route {
     Route {
         name: "",
         host: CHARTS_HOST,
--- a/crates/emberpin-demo/src/scenario.rs
+++ b/crates/emberpin-demo/src/scenario.rs
@@ -1,4 +1,5 @@
-//! One run: starts the deployment and the stand-ins, injects the events, and has the record judged.
+//! Runs the demonstration: starts the deployment and the stand-ins, sends traffic, injects the events and builds the
+//! report.
 
 use crate::clients::Clients;
 use crate::configuration::{CHARTS_SERVICE, LEDGER_SERVICE, SERVICES};
@@ -24,15 +25,17 @@
 use tokio::time::error::Elapsed;
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// How long a change may take to be in force, and a core machine to answer again, before the report says that it did
-/// not.
+/// The maximum time for a change to come into force, and for a restarted core machine to respond. After it the report
+/// states that this did not happen.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often it is checked whether the core machine that was killed answers again.
+/// How often a restarted core machine is checked for a response.
 const RECOVERY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The time-out of each of these checks.
 const RECOVERY_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The core machine that is killed and started again, by its index.
+/// The index of the core machine that is killed and restarted.
 const KILLED_CORE: usize = 1;
+/// The zone that is evacuated.
 const EVACUATED_ZONE: &str = ZONES[2];
 /// The group in which a server crashes and another one starts.
 const CRASH_GROUP: ServerGroup = ServerGroup {
@@ -40,15 +43,15 @@
     zone: ZONES[0],
 };
 /// The group in which a server shuts down gracefully.
-const LEAVE_GROUP: ServerGroup = ServerGroup {
+const SHUTDOWN_GROUP: ServerGroup = ServerGroup {
     service: LEDGER_SERVICE,
     zone: ZONES[0],
 };
 
-/// When events happen, as fractions of the time that clients send.
+/// The times of the events, as fractions of the time in which clients send requests.
 mod schedule {
     pub const EVACUATION_BEGIN: f64 = 0.15;
-    pub const GRACEFUL_LEAVE: f64 = 0.3;
+    pub const GRACEFUL_SHUTDOWN: f64 = 0.3;
     pub const CONFIGURATION_CHANGE: f64 = 0.4;
     pub const CORE_KILL: f64 = 0.5;
     pub const SERVER_CRASH: f64 = 0.55;
@@ -57,31 +60,32 @@
     pub const EVACUATION_FINISH: f64 = 0.85;
 }
 
-/// The options of the newcomer's command.
+/// The options of the demonstration.
 #[derive(Clone, Copy, Debug)]
 pub struct DemoOptions {
-    /// How long clients send requests.
+    /// The time for which clients send requests.
     pub duration: Duration,
-    /// The seed of all random numbers of the stand-ins.
+    /// The seed of the random numbers of all stand-ins.
     pub seed: u64,
     /// The number of edges.
     pub edges: usize,
-    /// Whether the folder with settings, disks and logs stays after the run.
+    /// Whether the folder with settings, disks and logs is kept after the run.
     pub keep_folder: bool,
 }
 
-/// Runs the demonstration to its end, or until SIGINT or SIGTERM comes.
+/// Runs the demonstration to its end, or until SIGINT or SIGTERM is received.
 ///
 /// # Errors
 ///
-/// [`DemoError`] if the deployment cannot be started, or is interrupted; its processes have ended then.
+/// [`DemoError`] if the deployment cannot be started, or if the run is interrupted. Its processes have been killed by
+/// then.
 pub fn run(options: &DemoOptions) -> Result<Report, DemoError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     let runtime = runtime.map_err(DemoError::system("runtime"))?;
     runtime.block_on(async {
-        // Before the first process is there.
+        // Installed before the first process starts, so that a signal cannot leave processes behind.
         let mut terminate =
             signal(SignalKind::terminate()).map_err(DemoError::system("SIGTERM"))?;
         let mut interrupt = signal(SignalKind::interrupt()).map_err(DemoError::system("SIGINT"))?;
@@ -108,29 +112,29 @@
     operator: Operator,
     clients: Arc<Clients>,
     recorder: Recorder,
-    /// When every edge was ready, on the recorder's clock.
+    /// When all edges were ready, on the recorder's clock.
     ready_at: Duration,
-    /// When clients began to send.
-    began: Instant,
+    /// When clients began to send requests.
+    traffic_started_at: Instant,
 }
 
-/// The events of a run, of which some still go on in the background.
+/// The injected events of a run. Those with a task handle may still be in progress.
 struct InjectedEvents {
     evacuation_acknowledged_at: Option<Duration>,
-    graceful_leave: JoinHandle<bool>,
+    graceful_shutdown: JoinHandle<bool>,
     change_acknowledged_at: Option<Duration>,
     change_in_force: JoinHandle<Result<Duration, Elapsed>>,
     core_killed_at: Duration,
     server_crashed_at: Duration,
     core_restarted_at: Duration,
-    core_answers: JoinHandle<Result<Duration, Elapsed>>,
+    core_recovery: JoinHandle<Result<Duration, Elapsed>>,
     evacuation_finished_at: Duration,
 }
 
 impl<'a> Scenario<'a> {
-    /// Starts everything, and waits until every edge is ready.
+    /// Starts the gateway and the stand-ins, and waits until all edges are ready.
     async fn start(options: &'a DemoOptions) -> Result<Scenario<'a>, DemoError> {
-        let deployment = Deployment::find(options.edges)?;
+        let deployment = Deployment::with_free_ports(options.edges)?;
         let folder = temporary_folder(options)?;
         let registries = deployment.ctl_addresses();
         let recorder = Recorder::default();
@@ -159,16 +163,16 @@
             clients,
             ready_at: recorder.now(),
             recorder,
-            began: Instant::now(),
+            traffic_started_at: Instant::now(),
         })
     }
 
-    /// Sends traffic for the whole run, injects the events meanwhile, and reads the configuration back at the end.
+    /// Sends traffic for the whole run and injects the events meanwhile. Reads the configuration back at the end.
     async fn send_traffic_and_inject_events(&mut self) -> Result<Timeline, DemoError> {
         let mut probes = JoinSet::new();
         probes.spawn(self.clients.clone().probe_edges());
         let mut traffic = JoinSet::new();
-        let end = self.began + self.options.duration;
+        let end = self.traffic_started_at + self.options.duration;
         for route in &ROUTES {
             traffic.spawn(self.clients.clone().send_requests(route, end));
         }
@@ -183,8 +187,8 @@
         Ok(timeline)
     }
 
-    /// A candidate of the election, which calls the registry of the same index first. So the second one meets the core
-    /// machine that is killed.
+    /// Creates a candidate of the election. It calls the registry of the same index first, so that the second candidate
+    /// calls the core machine that is killed.
     fn candidate(&self, index: usize) -> Candidate {
         let registries = self.gateway.deployment().ctl_addresses();
         Candidate::new(index, registries, self.options.seed, self.recorder.clone())
@@ -197,8 +201,8 @@
         let evacuation_acknowledged_at =
             self.operator.begin_evacuation(EVACUATED_ZONE, bound).await;
 
-        self.sleep_until(schedule::GRACEFUL_LEAVE).await;
-        let graceful_leave = self.begin_graceful_leave();
+        self.sleep_until(schedule::GRACEFUL_SHUTDOWN).await;
+        let graceful_shutdown = self.begin_graceful_shutdown();
 
         self.sleep_until(schedule::CONFIGURATION_CHANGE).await;
         let in_force = self.clients.clone().wait_until_change_is_in_force();
@@ -217,8 +221,8 @@
         let core_restarted_at = self.recorder.now();
         self.gateway.restart_core(KILLED_CORE)?;
         let registry = self.gateway.deployment().ctl_addresses()[KILLED_CORE];
-        let answer = wait_until_configuration_is_shown(registry, self.recorder.clone());
-        let core_answers = tokio::spawn(timeout(CONVERGENCE_TIMEOUT, answer));
+        let recovery = wait_until_configuration_is_returned(registry, self.recorder.clone());
+        let core_recovery = tokio::spawn(timeout(CONVERGENCE_TIMEOUT, recovery));
 
         self.sleep_until(schedule::SERVER_START).await;
         self.servers
@@ -230,22 +234,22 @@
 
         Ok(InjectedEvents {
             evacuation_acknowledged_at,
-            graceful_leave,
+            graceful_shutdown,
             change_acknowledged_at,
             change_in_force,
             core_killed_at,
             server_crashed_at,
             core_restarted_at,
-            core_answers,
+            core_recovery,
             evacuation_finished_at,
         })
     }
 
-    /// Waits for the events that still go on.
+    /// Waits for the events that are still in progress.
     async fn finish_events(&self, events: InjectedEvents) -> Timeline {
         let change_in_force = events.change_in_force.await;
-        let core_answers = events.core_answers.await;
-        let graceful_leave = events.graceful_leave.await;
+        let core_recovery = events.core_recovery.await;
+        let graceful_shutdown = events.graceful_shutdown.await;
         Timeline {
             ready_at: self.ready_at,
             change_acknowledged_at: events.change_acknowledged_at,
@@ -258,27 +262,28 @@
             killed_core: self.gateway.deployment().core[KILLED_CORE].ip,
             core_killed_at: events.core_killed_at,
             core_restarted_at: events.core_restarted_at,
-            core_answered_at: core_answers.ok().and_then(Result::ok),
+            core_recovered_at: core_recovery.ok().and_then(Result::ok),
             server_crashed_at: events.server_crashed_at,
-            graceful_leave_acknowledged: graceful_leave.unwrap_or(false),
+            graceful_shutdown_acknowledged: graceful_shutdown.unwrap_or(false),
         }
     }
 
-    /// Shuts a server down in the background; the task returns whether its drain and leave were acknowledged.
-    fn begin_graceful_leave(&mut self) -> JoinHandle<bool> {
-        let server = self.servers.remove(LEAVE_GROUP);
+    /// Shuts a server down gracefully in the background. The task returns whether the registries acknowledged both the
+    /// drain and the leave announcement.
+    fn begin_graceful_shutdown(&mut self) -> JoinHandle<bool> {
+        let server = self.servers.remove(SHUTDOWN_GROUP);
         let drain_bound = self.gateway.bounds().drain;
         tokio::spawn(async move {
             match server {
-                Some(server) => server.leave(drain_bound).await,
+                Some(server) => server.shut_down(drain_bound).await,
                 None => false,
             }
         })
     }
 
-    /// Sleeps until a fraction of the run has passed.
+    /// Sleeps until this fraction of the run has passed.
     async fn sleep_until(&self, fraction: f64) {
-        let time = self.began + self.options.duration.mul_f64(fraction);
+        let time = self.traffic_started_at + self.options.duration.mul_f64(fraction);
         sleep_until(time.into()).await;
     }
 
@@ -288,7 +293,7 @@
         if self.options.keep_folder {
             events.push(format!("folder: {}", self.gateway.folder().display()));
         }
-        Report::of(self.title(), events, &self.recorder.lock())
+        Report::from_record(self.title(), events, &self.recorder.lock())
     }
 
     fn title(&self) -> String {
@@ -312,8 +317,11 @@
         .map_err(DemoError::system("a temporary folder"))
 }
 
-/// Waits until a registry shows the configuration; returns when it did.
-async fn wait_until_configuration_is_shown(registry: SocketAddr, recorder: Recorder) -> Duration {
+/// Waits until a registry returns the configuration; the result is that time on the recorder's clock.
+async fn wait_until_configuration_is_returned(
+    registry: SocketAddr,
+    recorder: Recorder,
+) -> Duration {
     loop {
         let (path, body) = ("/config/get", String::new());
         let response = http::call(registry, Method::GET, path, body, RECOVERY_CALL_TIMEOUT).await;
--- a/crates/emberpin-demo/src/server.rs
+++ b/crates/emberpin-demo/src/server.rs
@@ -1,4 +1,4 @@
-//! A stand-in server: it sends heartbeats, serves requests, and drains, leaves or crashes when it is told to.
+//! A stand-in server: it sends heartbeats, serves requests, and drains, shuts down or crashes on command.
 
 mod heartbeat;
 mod requests;
@@ -16,44 +16,44 @@
 pub use heartbeat::HEARTBEAT_INTERVAL;
 pub use requests::seal;
 
-/// How many requests a server works on at once.
+/// The number of requests that a server runs concurrently.
 const SLOTS: usize = 4;
-/// How long a server that starts during traffic is warming up.
+/// The warm-up time of a server that starts during traffic.
 const WARM_UP: Duration = Duration::from_secs(1);
-/// How long a server that leaves goes on serving after the drain's bound, for requests under way.
-const LEAVE_MARGIN: Duration = Duration::from_millis(200);
+/// How long a server that shuts down continues to serve after the drain bound, for requests that are in flight.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(200);
 
 /// The servers of one service in one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerGroup {
-    /// The service of the configuration that they serve.
+    /// The service of the configuration that the servers run.
     pub service: &'static str,
-    /// The failure domain that they are in.
+    /// The failure domain of the servers.
     pub zone: &'static str,
 }
 
 /// Whether a server serves at full speed from the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartState {
-    /// At full speed.
+    /// The server runs at full speed.
     Warm,
-    /// Slowly at first: it starts during traffic.
+    /// The server starts during traffic and is slow until its warm-up has ended.
     WarmingUp,
 }
 
-/// One incarnation of a server. Dropping it is a crash: nothing is sent, and its connections are closed.
+/// One incarnation of a server. Dropping it simulates a crash: nothing is announced, and its connections are closed.
 pub struct Server {
     instance: Arc<Instance>,
     task: AbortHandle,
 }
 
-/// What the heartbeats and the requests of one incarnation share.
+/// The state that the heartbeats and the requests of one incarnation share.
 struct Instance {
     id: String,
     group: ServerGroup,
     address: SocketAddr,
     registries: Vec<SocketAddr>,
-    /// Where the last acknowledgement said that the next heartbeat should go.
+    /// The registry that the last acknowledgement named for the next heartbeat.
     assigned_registry: Mutex<Option<SocketAddr>>,
     warm_at: Instant,
     slots: Semaphore,
@@ -65,11 +65,11 @@
 }
 
 impl Server {
-    /// Starts an incarnation on a port of the system's choice.
+    /// Starts an incarnation on a port that the system assigns.
     ///
     /// # Errors
     ///
-    /// As the system says, if no port can be bound.
+    /// The error of the operating system if no port can be bound.
     pub async fn start(
         group: ServerGroup,
         id: String,
@@ -112,12 +112,12 @@
         self.instance.group
     }
 
-    /// Shuts down gracefully: announces the drain, serves on until its bound has passed, announces that it leaves, and
-    /// ends. Returns whether both announcements were acknowledged.
-    pub async fn leave(self, drain_bound: Duration) -> bool {
+    /// Shuts down gracefully: announces the drain, continues to serve until the drain bound has passed, announces the
+    /// leave, and ends. Returns whether both announcements were acknowledged.
+    pub async fn shut_down(self, drain_bound: Duration) -> bool {
         self.instance.is_draining.store(true, Ordering::Relaxed);
         let drain_acknowledged = self.instance.send_heartbeat().await;
-        tokio::time::sleep(drain_bound + LEAVE_MARGIN).await;
+        tokio::time::sleep(drain_bound + SHUTDOWN_MARGIN).await;
         let leave_acknowledged = self.instance.send_leave().await;
         drain_acknowledged && leave_acknowledged
     }
@@ -138,7 +138,7 @@
         }
     }
 
-    /// How long the server is still warming up.
+    /// The remaining warm-up time.
     fn warm_up_left(&self) -> Duration {
         self.warm_at.saturating_duration_since(Instant::now())
     }
--- a/crates/emberpin-demo/src/server/heartbeat.rs
+++ b/crates/emberpin-demo/src/server/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What a server sends to the registries: heartbeats, and at last that it leaves.
+//! The messages of a server to the registries: heartbeats, and the leave announcement at the end.
 
 use super::{Instance, SLOTS};
 use crate::http::{self, HttpResponse};
@@ -10,22 +10,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often servers send heartbeats; the gateway's settings have the same value.
+/// The interval between heartbeats. The gateway's settings have the same value.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// A registry that does not acknowledge in this time is passed over.
+/// The next registry is called if one does not acknowledge within this time.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The state that a heartbeat reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ServerState {
-    /// Serves, and new requests may come.
+    /// The server accepts new requests.
     Up,
-    /// Still serves, but no new requests should come: the server is about to leave.
+    /// The server still serves requests but should receive no new ones, because it is about to leave.
     Draining,
 }
 
 impl ServerState {
-    /// The name on the wire.
+    /// The name of the state on the wire.
     fn name(self) -> &'static str {
         match self {
             ServerState::Up => "up",
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Sends a heartbeat; returns whether it was acknowledged.
+    /// Sends a heartbeat; returns whether a registry acknowledged it.
     pub(super) async fn send_heartbeat(&self) -> bool {
         let seq = self.heartbeat_seq.fetch_add(1, Ordering::Relaxed) + 1;
         let group = self.group;
@@ -60,20 +60,20 @@
         self.call_registries(&path, body.dump()).await
     }
 
-    /// Announces that the server leaves; returns whether that was acknowledged.
+    /// Announces that the server leaves; returns whether a registry acknowledged it.
     pub(super) async fn send_leave(&self) -> bool {
         let path = format!("/instances/{}/leave", self.id);
         self.call_registries(&path, String::new()).await
     }
 
-    /// Calls the assigned registry, then each in turn until one acknowledges; returns whether one did.
+    /// Calls the assigned registry first, then all registries in turn until one acknowledges. Returns whether one did.
     async fn call_registries(&self, path: &str, body: String) -> bool {
         let assigned = lock(&self.assigned_registry).take();
-        // Servers begin at different registries.
+        // Each server begins at a registry that depends on its port.
         let first = usize::from(self.address.port());
         let count = self.registries.len();
-        let others = (0..count).map(|turn| self.registries[(first + turn) % count]);
-        for registry in assigned.into_iter().chain(others) {
+        let all_in_turn = (0..count).map(|turn| self.registries[(first + turn) % count]);
+        for registry in assigned.into_iter().chain(all_in_turn) {
             let body = body.clone();
             let response = http::call(registry, Method::POST, path, body, CALL_TIMEOUT).await;
             if let Some(response) = response.filter(HttpResponse::is_success) {
--- a/crates/emberpin-demo/src/server/requests.rs
+++ b/crates/emberpin-demo/src/server/requests.rs
@@ -1,4 +1,5 @@
-//! How a server answers requests: it runs a few at once, queues a few, and rejects the rest.
+//! Request handling of a server: it runs a limited number of requests concurrently, queues a limited number, and
+//! rejects the rest.
 
 use super::heartbeat::ServerState;
 use super::{Instance, SLOTS};
@@ -17,14 +18,14 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
-/// How many requests wait while all slots are taken.
+/// The maximum number of requests that wait while all slots are occupied.
 const QUEUE_CAPACITY: usize = 8;
-/// How long a request takes, drawn evenly.
-const WORK_MILLIS: Range<u32> = 4..20;
-/// How many times as long it takes while the server is warming up.
+/// The range of service times in milliseconds, from which each request's is drawn uniformly.
+const SERVICE_TIME_MILLIS: Range<u32> = 4..20;
+/// The factor by which the service time is longer while the server is warming up.
 const WARM_UP_SLOWDOWN: u32 = 3;
 
-/// Counts a request as pending until it is dropped.
+/// Counts a request as pending; dropping the guard ends that.
 struct PendingRequest<'a>(&'a AtomicUsize);
 
 impl Drop for PendingRequest<'_> {
@@ -34,7 +35,7 @@
 }
 
 impl Instance {
-    /// Accepts connections until the task is aborted, which closes them.
+    /// Accepts and serves connections until the task is aborted, which closes all connections.
     pub(super) async fn serve(self: Arc<Instance>, listener: TcpListener) {
         let mut connections = JoinSet::new();
         loop {
@@ -45,7 +46,7 @@
             while connections.try_join_next().is_some() {}
             let instance = self.clone();
             connections.spawn(async move {
-                let service = service_fn(|request| instance.on_request(request));
+                let service = service_fn(|request| instance.handle_request(request));
                 let connection = hyper::server::conn::http1::Builder::new();
                 _ = connection
                     .serve_connection(TokioIo::new(stream), service)
@@ -54,12 +55,12 @@
         }
     }
 
-    async fn on_request(
+    async fn handle_request(
         &self,
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let mut response = match request.uri().path() {
-            "/healthz" => self.health_check().await,
+            "/healthz" => self.respond_to_health_check().await,
             _ => self.run_request(request).await,
         };
         if self.state() == ServerState::Draining {
@@ -77,9 +78,9 @@
         if header(&parts.headers, "want-instance").is_some_and(|wanted| wanted != self.id) {
             return reject(StatusCode::MISDIRECTED_REQUEST);
         }
-        let arrived = Instant::now();
+        let arrived_at = Instant::now();
         let deadline = header(&parts.headers, "deadline").and_then(|millis| millis.parse().ok());
-        let arrival = self.record_arrival(attempt_id);
+        let arrival_index = self.record_arrival(attempt_id);
         let pending_before = self.pending_requests.fetch_add(1, Ordering::Relaxed);
         let _pending = PendingRequest(&self.pending_requests);
         if pending_before >= SLOTS + QUEUE_CAPACITY {
@@ -91,16 +92,16 @@
         let Ok(_slot) = self.slots.acquire().await else {
             return reject(StatusCode::SERVICE_UNAVAILABLE);
         };
-        if deadline.is_some_and(|millis| arrived.elapsed() >= Duration::from_millis(millis)) {
+        if deadline.is_some_and(|millis| arrived_at.elapsed() >= Duration::from_millis(millis)) {
             return reject(StatusCode::SERVICE_UNAVAILABLE);
         }
-        self.recorder.lock().arrivals[arrival].ran = true;
-        tokio::time::sleep(self.draw_work()).await;
-        self.recorder.lock().arrivals[arrival].service_time = Some(arrived.elapsed());
-        self.success(attempt_id)
+        self.recorder.lock().arrivals[arrival_index].ran = true;
+        tokio::time::sleep(self.draw_service_time()).await;
+        self.recorder.lock().arrivals[arrival_index].service_time = Some(arrived_at.elapsed());
+        self.success_response(attempt_id)
     }
 
-    /// Records a request that is meant for this server; returns its index.
+    /// Records a request that is addressed to this server; returns its index in the record.
     fn record_arrival(&self, attempt_id: &str) -> usize {
         let at = self.recorder.now();
         let mut record = self.recorder.lock();
@@ -114,8 +115,8 @@
         record.arrivals.len() - 1
     }
 
-    fn draw_work(&self) -> Duration {
-        let millis = lock(&self.random).rand_range(WORK_MILLIS);
+    fn draw_service_time(&self) -> Duration {
+        let millis = lock(&self.random).rand_range(SERVICE_TIME_MILLIS);
         let slowdown = match self.warm_up_left() {
             Duration::ZERO => 1,
             _ => WARM_UP_SLOWDOWN,
@@ -123,7 +124,7 @@
         Duration::from_millis(u64::from(millis * slowdown))
     }
 
-    fn success(&self, attempt_id: &str) -> Response<Full<Bytes>> {
+    fn success_response(&self, attempt_id: &str) -> Response<Full<Bytes>> {
         let body = format!("{attempt_id} by {}\n", self.id);
         let mut response = Response::new(Full::from(body));
         set_header(&mut response, "try-id", attempt_id);
@@ -131,8 +132,8 @@
         response
     }
 
-    /// Answers a health check once a slot is free, as a request would be.
-    async fn health_check(&self) -> Response<Full<Bytes>> {
+    /// Responds to a health check once a slot is free, like to any other request.
+    async fn respond_to_health_check(&self) -> Response<Full<Bytes>> {
         let _slot = self.slots.acquire().await;
         let mut response = Response::new(Full::default());
         if self.state() == ServerState::Draining {
@@ -145,7 +146,8 @@
     }
 }
 
-/// The stamp of a server on its response to an attempt, by which the client knows that the two belong together.
+/// The value of the `seal` header with which a server marks its response to an attempt, so that the client can verify
+/// that the response belongs to the attempt.
 pub fn seal(server_id: &str, attempt_id: &str) -> String {
     format!("{server_id}.{attempt_id}")
 }
@@ -160,7 +162,7 @@
     }
 }
 
-/// A response that says that the request has not run.
+/// Builds a response whose `not-run` header states that the request has not run.
 fn rejection(status: StatusCode, attempt_id: Option<&str>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
--- a/crates/emberpin-demo/src/server_pool.rs
+++ b/crates/emberpin-demo/src/server_pool.rs
@@ -1,4 +1,4 @@
-//! All stand-in servers, by service and zone.
+//! The pool of all stand-in servers, grouped by service and zone.
 
 use crate::configuration::SERVICES;
 use crate::deployment::ZONES;
@@ -7,13 +7,13 @@
 use crate::server::{Server, ServerGroup, StartState};
 use std::net::SocketAddr;
 
-/// Servers of each service in each zone at the start.
+/// The number of servers of each service in each zone at the start.
 pub const SERVERS_PER_GROUP: usize = 2;
 
-/// Keeps the seeds of runs with consecutive seeds apart.
+/// Keeps the servers' seeds distinct between runs with consecutive seeds.
 const SEED_FACTOR: u64 = 1_000;
 
-/// The servers that run.
+/// The running servers.
 pub struct ServerPool {
     registries: Vec<SocketAddr>,
     seed: u64,
@@ -49,7 +49,8 @@
         Ok(pool)
     }
 
-    /// Starts one more server; `number` tells it apart from all others of its group, also those that have ended.
+    /// Starts one more server. `number` must differ from that of every other server of the group, including those that
+    /// have ended.
     ///
     /// # Errors
     ///
@@ -70,7 +71,7 @@
         Ok(())
     }
 
-    /// Takes the oldest server of a group out of the pool; dropping it is a crash.
+    /// Removes the oldest server of a group from the pool and returns it. Dropping it simulates a crash.
     pub fn remove(&mut self, group: ServerGroup) -> Option<Server> {
         let mut servers = self.servers.iter();
         let index = servers.position(|server| server.group() == group)?;
--- a/crates/emberpin-demo/src/timeline.rs
+++ b/crates/emberpin-demo/src/timeline.rs
@@ -1,44 +1,44 @@
-//! When the events of a run happened, and the lines that the report prints about them.
+//! The times of a run's events, and the report lines about them.
 
 use crate::deployment::Bounds;
-use crate::report::millis;
+use crate::report::format_millis;
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// When the events of a run happened, on the recorder's clock; `None` stands for what did not happen in time.
+/// The times of a run's events on the recorder's clock; `None` for an event that did not happen in time.
 pub struct Timeline {
-    /// When every edge was ready; the times that are printed count from here.
+    /// When all edges were ready. Printed times are relative to this time.
     pub ready_at: Duration,
     /// When the configuration change was acknowledged.
     pub change_acknowledged_at: Option<Duration>,
-    /// When the change was in force at the last edge.
+    /// When the change was in force at all edges.
     pub change_in_force_at: Option<Duration>,
-    /// How long the run waited for the change to be in force.
+    /// The maximum time that the run waited for the change to come into force.
     pub change_timeout: Duration,
     /// The zone that was evacuated.
     pub evacuated_zone: &'static str,
     /// When the evacuation was acknowledged.
     pub evacuation_acknowledged_at: Option<Duration>,
-    /// When its end was asked for.
+    /// When the operator requested the end of the evacuation.
     pub evacuation_finished_at: Duration,
-    /// The bounds of the gateway's settings.
+    /// The time bounds in the gateway's settings.
     pub bounds: Bounds,
     /// The address of the core machine that was killed.
     pub killed_core: Ipv4Addr,
-    /// When it was killed.
+    /// When the core machine was killed.
     pub core_killed_at: Duration,
-    /// When its processes were started again.
+    /// When the processes of the core machine were restarted.
     pub core_restarted_at: Duration,
-    /// When it showed the configuration again.
-    pub core_answered_at: Option<Duration>,
+    /// When the core machine returned the configuration again.
+    pub core_recovered_at: Option<Duration>,
     /// When the server crashed.
     pub server_crashed_at: Duration,
-    /// Whether the drain and the leave of the other server were acknowledged.
-    pub graceful_leave_acknowledged: bool,
+    /// Whether the drain and the leave announcement of the server that shut down gracefully were acknowledged.
+    pub graceful_shutdown_acknowledged: bool,
 }
 
 impl Timeline {
-    /// One line for each kind of event.
+    /// Formats one report line for each kind of event.
     pub fn lines(&self) -> Vec<String> {
         let mut lines = vec![self.start_line(), self.change_line()];
         lines.extend(self.evacuation_line());
@@ -59,7 +59,7 @@
         match self.change_in_force_at {
             Some(in_force_at) => format!(
                 "change: in force at every edge {} after its acknowledgement",
-                millis(in_force_at.saturating_sub(acknowledged_at))
+                format_millis(in_force_at.saturating_sub(acknowledged_at))
             ),
             None => format!(
                 "change: not in force at every edge within {:?}",
@@ -86,12 +86,15 @@
 
     fn core_line(&self) -> String {
         let restarted_at = self.core_restarted_at;
-        let answered = match self.core_answered_at {
-            Some(at) => format!("answered {} later", millis(at.saturating_sub(restarted_at))),
+        let recovery = match self.core_recovered_at {
+            Some(at) => format!(
+                "answered {} later",
+                format_millis(at.saturating_sub(restarted_at))
+            ),
             None => "did not answer again".into(),
         };
         format!(
-            "core: {} killed at {}, started at {}, {answered}",
+            "core: {} killed at {}, started at {}, {recovery}",
             self.killed_core,
             self.since_ready(self.core_killed_at),
             self.since_ready(restarted_at)
@@ -99,12 +102,12 @@
     }
 
     fn servers_line(&self) -> String {
-        let left = match self.graceful_leave_acknowledged {
+        let shutdown = match self.graceful_shutdown_acknowledged {
             true => "drained and left",
             false => "left, not acknowledged",
         };
         let crashed = self.since_ready(self.server_crashed_at);
-        format!("servers: one crashed at {crashed}, one {left}")
+        format!("servers: one crashed at {crashed}, one {shutdown}")
     }
 
     fn since_ready(&self, time: Duration) -> String {
--- a/crates/emberpin-demo/tests/coordination_soak.rs
+++ b/crates/emberpin-demo/tests/coordination_soak.rs
@@ -1,7 +1,7 @@
 //! Applications at work while processes are killed, ended, frozen and restarted, get new settings, and lose a disk.
 //!
-//! `EMBERPIN_SOAK_SEEDS=FIRST-LAST` runs other seeds than the one of each build, `EMBERPIN_SOAK_MACHINES` names how many
-//! core machines there are, `EMBERPIN_SOAK_SECONDS` how long they are troubled.
+//! `EMBERPIN_SOAK_SEEDS=FIRST-LAST` runs other seeds than the one of each build, `EMBERPIN_SOAK_MACHINES` names how
+//! many core machines there are, `EMBERPIN_SOAK_SECONDS` how long they are troubled.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod core_machines;
--- a/crates/emberpin-demo/tests/core_machines/applications.rs
+++ b/crates/emberpin-demo/tests/core_machines/applications.rs
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Has the callers end what they are at, then repeats every kind of call until it is answered: nothing may be behind
-    /// what was acknowledged.
+    /// Has the callers end what they are at, then repeats every kind of call until it is answered: nothing may be
+    /// behind what was acknowledged.
     pub async fn finish(self) -> Run {
         self.run.is_over.set(true);
         for caller in self.callers {
--- a/crates/emberpin-demo/tests/core_machines/mod.rs
+++ b/crates/emberpin-demo/tests/core_machines/mod.rs
@@ -366,7 +366,8 @@
         .expect("a folder")
 }
 
-/// The first of some ports in a row that are free on all machines, beginning at one that differs from process to process.
+/// The first of some ports in a row that are free on all machines, beginning at one that differs from process to
+/// process.
 fn find_free_ports(addresses: &[Ipv4Addr]) -> u16 {
     let ranges = u32::from((HIGHEST_PORT - LOWEST_PORT) / PORTS_PER_MACHINE);
     let range = |probe: u32| {
--- a/crates/emberpin-demo/tests/invariants.rs
+++ b/crates/emberpin-demo/tests/invariants.rs
@@ -42,10 +42,10 @@
     items(&jzon::parse(&text).expect("lists"))
 }
 
-fn term(candidate: &'static str, fence: u64, from: u64, until: u64) -> LeaderTerm {
+fn term(candidate: &'static str, fencing_token: u64, from: u64, until: u64) -> LeaderTerm {
     LeaderTerm {
         candidate,
-        fence,
+        fencing_token,
         from: ms(from),
         until: ms(until),
     }
@@ -117,9 +117,9 @@
 
 #[gtest]
 fn a_leader_whose_fence_is_not_above_that_of_the_one_before_is_a_violation() {
-    for fence in [1, 2] {
-        let found = violations_after(|record| record.leader_terms[3].fence = fence);
-        let expected = format!("one was elected with fence {fence} after 2");
+    for fencing_token in [1, 2] {
+        let found = violations_after(|record| record.leader_terms[3].fencing_token = fencing_token);
+        let expected = format!("one was elected with fence {fencing_token} after 2");
         expect_that!(found, elements_are![eq(&expected)]);
     }
 }
@@ -281,13 +281,13 @@
         },
         latency: ms(25),
         attempt_id: "write".into(),
-        is_first_attempt: true,
+        has_single_attempt: true,
     };
     let record = Record {
         requests: (0..of).map(request).collect(),
         ..record
     };
-    Report::of("played".into(), Vec::new(), &record)
+    Report::from_record("played".into(), Vec::new(), &record)
 }
 
 #[gtest]
@@ -318,7 +318,7 @@
         .find(|summary| summary.route == "commit")
         .expect("a summary");
     expect_that!(
-        summary.added,
+        summary.added_latency,
         some(eq(AddedLatency {
             p50: ms(15),
             p99: ms(15)
@@ -328,7 +328,7 @@
         (
             summary.requests,
             summary.served,
-            summary.refused,
+            summary.rejected,
             summary.failed
         ),
         eq((10, 10, 0, 0))
--- a/crates/emberpin-demo/tests/system.rs
+++ b/crates/emberpin-demo/tests/system.rs
@@ -283,7 +283,8 @@
     response.expect("a response").0
 }
 
-/// The statuses by which a machine sends a call elsewhere: to any other one, or to the one that it takes to hear a majority.
+/// The statuses by which a machine sends a call elsewhere: to any other one, or to the one that it takes to hear a
+/// majority.
 fn is_not_taken() -> impl Matcher<u16> {
     any![eq(503), eq(307)]
 }
