--- a/crates/emberpin-demo/tests/command.rs
+++ b/crates/emberpin-demo/tests/command.rs
@@ -1,4 +1,4 @@
-//! The newcomer's command as a process, with the whole gateway as processes beneath it.
+//! Runs the program `emberpin-demo`, which runs the whole gateway as child processes.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use googletest::prelude::*;
@@ -15,7 +15,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// The figures of a route: requests, served, refused, failed.
+/// The figures of a route in the report: requests, served, refused, failed.
 fn figures(report: &str, route: &str) -> Vec<usize> {
     let line = report
         .lines()
@@ -42,7 +42,7 @@
         contains_substring("3 core machines, 3 edges, 12 servers in 3 zones, 4 s, seed 7")
     );
     expect_that!(report, contains_substring("verdict: every rule held"));
-    // Sixty and thirty a second, one more or less at the ends.
+    // 60 and 30 requests per second for four seconds; the number may differ slightly at the start and the end.
     for (route, sent) in [("look-up", 240), ("commit", 120)] {
         let figures = figures(&report, route);
         verify_that!(figures.len(), eq(4)).and_log_failure();
--- a/crates/emberpin-demo/tests/coordination.rs
+++ b/crates/emberpin-demo/tests/coordination.rs
@@ -1,4 +1,5 @@
-//! Locks, numbers and cells over processes that the deploy file names, as an operator meets them.
+//! Locks, numbers and cells, served by the processes that the deploy file names: the list of locks for operators, and
+//! durability over restarts.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod deployed_system;
@@ -12,11 +13,11 @@
 use std::time::{Duration, Instant};
 
 const CORES: usize = 3;
-/// Longer than a leader waits until it announces what was chosen.
+/// Longer than a leader waits until it announces a chosen value.
 const ROUND_INTERVAL: Duration = Duration::from_millis(200);
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Calls one core machine after the other until one has a clear answer.
+/// Calls one core machine after the other until one gives a clear answer; returns its status and JSON body.
 fn call(system: &DeployedSystem, method: Method, path: &str, body: &str) -> (u16, JsonValue) {
     let (status, body) = system.call_until_clear(0, method, path, body);
     (status, jzon::parse(&body).unwrap_or(JsonValue::Null))
@@ -31,7 +32,7 @@
 }
 
 #[gtest]
-fn a_lock_is_listed_with_its_owner_and_fence_until_it_is_released() {
+fn a_lock_is_listed_with_its_owner_and_fencing_token_until_it_is_released() {
     let system = DeployedSystem::start_with_coordination(61);
     let (status, granted) = post(
         &system,
@@ -63,7 +64,7 @@
 }
 
 #[gtest]
-fn what_was_acknowledged_is_there_after_all_machines_were_killed() {
+fn acknowledged_numbers_and_cells_survive_a_kill_of_all_machines() {
     let mut system = DeployedSystem::start_with_coordination(62);
     let (_, number) = post(&system, "/numbers/n", "{}");
     let (status, put) = post(&system, "/cells/g.c/put", r#"{"val":"v","when":0}"#);
@@ -84,11 +85,11 @@
 }
 
 #[gtest]
-fn a_lock_whose_owner_died_is_free_after_all_machines_were_restarted() {
+fn a_lock_whose_owner_crashed_is_free_after_a_restart_of_all_machines() {
     let mut system = DeployedSystem::start_with_coordination(63);
     let (status, _) = post(&system, "/locks/l/begin", r#"{"owner":"dead","hold":"1s"}"#);
     expect_that!(status, eq(200));
-    // Further rounds, so that every store has the lock on its disk as chosen.
+    // Further rounds, so that every store has recorded the lock as chosen on its disk.
     for _ in 0..5 {
         expect_that!(post(&system, "/numbers/n", "{}").0, eq(200));
         sleep(ROUND_INTERVAL);
@@ -100,7 +101,7 @@
         system.start_machine(core, StartMode::Restart);
     }
     let started_at = Instant::now();
-    // The hold counts anew from the start of whoever leads.
+    // The lease is counted anew from the start of the store that leads.
     while started_at.elapsed() < ANSWER_TIMEOUT {
         let (status, _) = post(
             &system,
--- a/crates/emberpin-demo/tests/coordination_restarts.rs
+++ b/crates/emberpin-demo/tests/coordination_restarts.rs
@@ -1,39 +1,39 @@
-//! What applications were told about locks, numbers and cells, after all processes were killed.
+//! Acknowledged locks, numbers and cells must survive a kill of all processes.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod core_machines;
 
 use core_machines::{
-    begin_body, finish_body, heartbeat_body, number, put_body, CoreMachines, ANSWER_TIMEOUT,
+    begin_body, finish_body, heartbeat_body, number_field, put_body, CoreMachines, ANSWER_TIMEOUT,
 };
 use googletest::prelude::*;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-const HOLD_MS: u64 = 3_000;
-/// Changes of the group before and after the revision that is saved.
+const LEASE_MS: u64 = 3_000;
+/// The number of changes of the group before the saved revision, and of those after it.
 const CHANGES: u64 = 20;
 const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 
-/// What an application was told before the processes were killed.
-struct Told {
-    /// The fence of the lock `l1`, which `holder` holds.
-    fence: u64,
+/// The state that was acknowledged to an application before the processes were killed.
+struct AcknowledgedState {
+    /// The fencing token of the lock `l1`, which `holder` holds.
+    fencing_token: u64,
     /// The last number of `n1`.
-    number: u64,
+    last_number: u64,
     /// The revision from which a watch of the group `g1.` is resumed.
-    saved: u64,
-    /// The values that the cell `g1.a` got after that, with their revisions.
+    saved_revision: u64,
+    /// The values that were written to the cell `g1.a` after that revision, with their revisions.
     values: Vec<(String, u64)>,
 }
 
-impl Told {
-    /// Has a system do some work, one call after the other at each of the machines.
-    async fn by(machines: &CoreMachines) -> googletest::Result<Told> {
-        let mut told = Told {
-            fence: 0,
-            number: 0,
-            saved: 0,
+impl AcknowledgedState {
+    /// Makes calls of each kind at each machine in turn, and returns the state that was acknowledged.
+    async fn collect(machines: &CoreMachines) -> googletest::Result<AcknowledgedState> {
+        let mut acknowledged = AcknowledgedState {
+            fencing_token: 0,
+            last_number: 0,
+            saved_revision: 0,
             values: Vec::new(),
         };
         let mut revision = 0;
@@ -41,52 +41,61 @@
             let machine = change as usize % machines.count();
             let (status, body) = machines.post(machine, "/numbers/n1", "{}").await;
             verify_that!(
-                (status, number(&body, "val") > told.number),
+                (
+                    status,
+                    number_field(&body, "val") > acknowledged.last_number
+                ),
                 eq((200, true))
             )?;
-            told.number = number(&body, "val");
+            acknowledged.last_number = number_field(&body, "val");
             let value = format!("v{change}");
             let put = put_body(&value, revision);
             let (status, body) = machines.post(machine, "/cells/g1.a/put", &put).await;
-            verify_that!((status, number(&body, "rev") > revision), eq((200, true)))?;
-            revision = number(&body, "rev");
+            verify_that!(
+                (status, number_field(&body, "rev") > revision),
+                eq((200, true))
+            )?;
+            revision = number_field(&body, "rev");
             if change < CHANGES {
-                told.saved = revision;
+                acknowledged.saved_revision = revision;
             } else {
-                told.values.push((value, revision));
+                acknowledged.values.push((value, revision));
             }
-            // Each round raises the fence.
-            let begin = begin_body("holder", HOLD_MS);
+            // Each round increases the fencing token.
+            let begin = begin_body("holder", LEASE_MS);
             let (status, body) = machines.post(machine, "/locks/l1/begin", &begin).await;
             verify_that!(
-                (status, number(&body, "fence") > told.fence),
+                (
+                    status,
+                    number_field(&body, "fence") > acknowledged.fencing_token
+                ),
                 eq((200, true))
             )?;
-            told.fence = number(&body, "fence");
+            acknowledged.fencing_token = number_field(&body, "fence");
             if change + 1 < 2 * CHANGES {
-                let finish = finish_body("holder", told.fence);
+                let finish = finish_body("holder", acknowledged.fencing_token);
                 let (status, _) = machines.post(machine, "/locks/l1/finish", &finish).await;
                 verify_that!(status, eq(200))?;
             }
         }
-        Ok(told)
+        Ok(acknowledged)
     }
 
-    /// Whether no machine is behind it.
+    /// Verifies that no machine has lost any of the acknowledged state.
     async fn verify(&self, machines: &CoreMachines) -> googletest::Result<()> {
-        let mut last_number = self.number;
+        let mut last_number = self.last_number;
         for machine in 0..machines.count() {
             let (status, body) = machines.post(machine, "/numbers/n1", "{}").await;
             verify_that!(
-                (status, number(&body, "val") > last_number),
+                (status, number_field(&body, "val") > last_number),
                 eq((200, true))
             )?;
-            last_number = number(&body, "val");
+            last_number = number_field(&body, "val");
             let (status, body) = machines.get(machine, "/cells/g1.a/get").await;
             let (value, revision) = self.values.last().expect("a value");
-            verify_that!((status, number(&body, "rev")), eq((200, *revision)))?;
+            verify_that!((status, number_field(&body, "rev")), eq((200, *revision)))?;
             verify_that!(body, contains_substring(format!("\"{value}\"")))?;
-            let path = format!("/watch/g1.?after={}&wait_ms=2000", self.saved);
+            let path = format!("/watch/g1.?after={}&wait_ms=2000", self.saved_revision);
             let (status, body) = machines.get(machine, &path).await;
             verify_that!(status, eq(200))?;
             let watched = jzon::parse(&body).or_fail()?;
@@ -102,60 +111,61 @@
         self.verify_lock(machines).await
     }
 
-    /// Whether the lock is free after its hold, with a higher fence than any before.
+    /// Verifies that the lock is free once its lease has expired, and is granted with a higher fencing token than
+    /// before.
     async fn verify_lock(&self, machines: &CoreMachines) -> googletest::Result<()> {
         let since = Instant::now();
-        let begin = begin_body("successor", HOLD_MS);
+        let begin = begin_body("successor", LEASE_MS);
         for machine in (0..machines.count()).cycle() {
             let (status, body) = machines.post(machine, "/locks/l1/begin", &begin).await;
             if status == 200 {
-                verify_that!(number(&body, "fence"), gt(self.fence))?;
+                verify_that!(number_field(&body, "fence"), gt(self.fencing_token))?;
                 break;
             }
             verify_that!(status, eq(409))?;
             verify_that!(since.elapsed(), lt(ANSWER_TIMEOUT))?;
             sleep(RETRY_BACKOFF).await;
         }
-        // The former holder has lost it.
-        let heartbeat = heartbeat_body("holder", self.fence, HOLD_MS);
+        // The former holder has lost the lock.
+        let heartbeat = heartbeat_body("holder", self.fencing_token, LEASE_MS);
         let (status, _) = machines.post(0, "/locks/l1/heartbeat", &heartbeat).await;
         verify_that!(status, eq(409))
     }
 }
 
-// Guards against SHORT of issue 62: of the calls for locks, numbers and cells, none was served.
+// Guards against the failure SHORT of issue 62: no call for locks, numbers and cells was served.
 #[tokio::test]
-async fn a_calm_system_answers_each_kind_of_call_of_applications() -> googletest::Result<()> {
+async fn a_system_without_faults_serves_each_kind_of_call() -> googletest::Result<()> {
     let machines = CoreMachines::start_three(91);
     machines.wait_until_served().await;
-    let told = Told::by(&machines).await?;
-    let heartbeat = heartbeat_body("holder", told.fence, HOLD_MS);
+    let acknowledged = AcknowledgedState::collect(&machines).await?;
+    let heartbeat = heartbeat_body("holder", acknowledged.fencing_token, LEASE_MS);
     let (status, _) = machines.post(1, "/locks/l1/heartbeat", &heartbeat).await;
     verify_that!(status, eq(200))?;
-    told.verify(&machines).await
+    acknowledged.verify(&machines).await
 }
 
-// Guards against LOST of issue 62: what applications were told was not there after a loss of power.
+// Guards against the failure LOST of issue 62: acknowledged state was lost after a power failure.
 #[tokio::test]
-async fn what_applications_were_told_outlives_a_kill_of_all_processes() -> googletest::Result<()> {
+async fn acknowledged_state_survives_a_kill_of_all_processes() -> googletest::Result<()> {
     let mut machines = CoreMachines::start_three(92);
     machines.wait_until_served().await;
-    let told = Told::by(&machines).await?;
+    let acknowledged = AcknowledgedState::collect(&machines).await?;
     machines.kill_all();
     machines.restart_all();
-    told.verify(&machines).await
+    acknowledged.verify(&machines).await
 }
 
-// Guards against LOST of issue 62, when one of the disks is lost together with the power.
+// Guards against the failure LOST of issue 62 if one of the disks is lost together with the power.
 #[tokio::test]
-async fn what_applications_were_told_outlives_a_kill_of_all_processes_and_the_loss_of_a_disk(
+async fn acknowledged_state_survives_a_kill_of_all_processes_and_the_loss_of_a_disk(
 ) -> googletest::Result<()> {
     let mut machines = CoreMachines::start_three(93);
     machines.wait_until_served().await;
-    let told = Told::by(&machines).await?;
+    let acknowledged = AcknowledgedState::collect(&machines).await?;
     machines.kill_all();
-    // That of the machine that is asked first for the lead.
+    // The disk of the machine that is first in line to lead.
     machines.remove_disk(0);
     machines.restart_all();
-    told.verify(&machines).await
+    acknowledged.verify(&machines).await
 }
--- a/crates/emberpin-demo/tests/coordination_soak.rs
+++ b/crates/emberpin-demo/tests/coordination_soak.rs
@@ -1,7 +1,8 @@
-//! Applications at work while processes are killed, ended, frozen and restarted, get new settings, and lose a disk.
+//! Applications under random faults: processes are killed, shut down, frozen and restarted, get new settings, and lose
+//! a disk. No rule for locks, numbers and cells may be violated.
 //!
-//! `EMBERPIN_SOAK_SEEDS=FIRST-LAST` runs other seeds than the one of each build, `EMBERPIN_SOAK_MACHINES` names how
-//! many core machines there are, `EMBERPIN_SOAK_SECONDS` how long they are troubled.
+//! By default, one seed runs. `EMBERPIN_SOAK_SEEDS=FIRST-LAST` selects other seeds, `EMBERPIN_SOAK_MACHINES` the number
+//! of core machines, and `EMBERPIN_SOAK_SECONDS` how long faults are injected.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod core_machines;
@@ -18,14 +19,14 @@
 const MACHINES_VARIABLE: &str = "EMBERPIN_SOAK_MACHINES";
 const SECONDS_VARIABLE: &str = "EMBERPIN_SOAK_SECONDS";
 const CALLERS: u32 = 24;
-/// So many broken rules of a run are printed.
-const MAX_PRINTED: usize = 5;
+/// The maximum number of violations that are printed for a run.
+const MAX_VIOLATIONS_PRINTED: usize = 5;
 
-fn variable(name: &str) -> Option<u64> {
+fn number_variable(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
-/// The first and the last seed.
+/// The first and the last seed of the soak test.
 fn seeds() -> (u64, u64) {
     let read = || {
         let seeds = std::env::var(SEEDS_VARIABLE).ok()?;
@@ -35,25 +36,25 @@
     read().unwrap_or((1, 1))
 }
 
-/// Runs one seed. Prints what was seen if a rule was broken.
+/// Runs one seed. If there are violations, prints them with the faults, the calls and the logs.
 async fn soak(net: u8, seed: u64) -> Vec<Violation> {
-    let count = variable(MACHINES_VARIABLE).unwrap_or(3) as usize;
-    let troubled = Duration::from_secs(variable(SECONDS_VARIABLE).unwrap_or(12));
-    let mut machines = CoreMachines::start(net, count, settings::Applications::Served);
+    let count = number_variable(MACHINES_VARIABLE).unwrap_or(3) as usize;
+    let fault_duration = Duration::from_secs(number_variable(SECONDS_VARIABLE).unwrap_or(12));
+    let mut machines = CoreMachines::start(net, count, settings::CoordinationApi::Served);
     machines.wait_until_served().await;
     let applications = Applications::start(&machines.ctl_addresses(), CALLERS, seed);
     let mut faults = Faults::new(seed);
-    faults.trouble(&mut machines, troubled / 2).await;
+    faults.inject_for(&mut machines, fault_duration / 2).await;
     if seed % 2 == 1 {
         faults.lose_disk(&mut machines).await;
     }
-    faults.trouble(&mut machines, troubled / 2).await;
+    faults.inject_for(&mut machines, fault_duration / 2).await;
     let run = applications.finish().await;
     let history = run.history.borrow();
     let violations = history.violations();
     println!(
         "seed {seed}: {} holds, {} numbers, {} puts, {} reads, {} watches; {} broken rules",
-        history.holds.len(),
+        history.leases.len(),
         history.numbers.len(),
         history.puts.len(),
         history.gets.len(),
@@ -62,9 +63,13 @@
     );
     if let Some(first) = violations.first() {
         println!("faults:\n{}", faults.log.join("\n"));
-        println!("seen at {}:\n{}", first.subject, history.of(&first.subject));
+        println!(
+            "seen at {}:\n{}",
+            first.subject,
+            history.describe(&first.subject)
+        );
         println!("{}", machines.logs());
-        for violation in violations.iter().take(MAX_PRINTED) {
+        for violation in violations.iter().take(MAX_VIOLATIONS_PRINTED) {
             println!("seed {seed}: {violation}");
         }
     }
@@ -72,16 +77,15 @@
 }
 
 #[tokio::test]
-async fn what_applications_see_keeps_to_the_rules_under_series_of_signals_and_restarts(
-) -> googletest::Result<()> {
+async fn no_rule_is_violated_under_series_of_signals_and_restarts() -> googletest::Result<()> {
     let (first, last) = seeds();
-    let mut broken = Vec::new();
+    let mut failed_seeds = Vec::new();
     for seed in first..=last {
         let net = 100 + (seed % 100) as u8;
         let violations = LocalSet::new().run_until(soak(net, seed)).await;
         if !violations.is_empty() {
-            broken.push(seed);
+            failed_seeds.push(seed);
         }
     }
-    verify_that!(broken, is_empty())
+    verify_that!(failed_seeds, is_empty())
 }
--- a/crates/emberpin-demo/tests/core_machines/applications.rs
+++ b/crates/emberpin-demo/tests/core_machines/applications.rs
@@ -1,8 +1,11 @@
-//! Applications that take locks, numbers and cells, and watch: callers on open connections, which call another machine
-//! after a failure, a 5xx, a 429 or a second of silence.
-
-use super::history::{Event, Get, History, Hold, Number, Put, PutAnswer, Span, Watch};
-use super::{begin_body, finish_body, heartbeat_body, number, put_body, Response, SILENCE};
+//! Applications that use locks, numbers, cells and watches. Callers keep their connections open, and call another
+//! machine after a failure, a 5xx, a 429, or a second without an answer. They record all calls in the history of the
+//! run.
+
+use super::history::{Event, Get, History, Lease, Number, Put, PutOutcome, Span, Watch};
+use super::{
+    begin_body, finish_body, heartbeat_body, number_field, put_body, Response, CALL_TIMEOUT,
+};
 use emberpin_demo::http::{self, Connection};
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HOST};
@@ -16,20 +19,20 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, timeout, Instant};
 
-/// For how long a put without a clear answer is sent again.
-const PUT_RESEND_TIME: Duration = Duration::from_secs(4);
-/// For how long every call is repeated at the end.
-const LAST_CALLS_TIME: Duration = Duration::from_secs(15);
-/// How old a revision may be from which a watch is resumed: `history` of the settings.
-const HISTORY: Duration = Duration::from_secs(20);
+/// How long a put without a clear answer is retried.
+const PUT_RETRY_TIME: Duration = Duration::from_secs(4);
+/// How long each call at the end of the run is repeated until it is answered.
+const FINAL_CALL_TIMEOUT: Duration = Duration::from_secs(15);
+/// The maximum age of a revision from which a watch can be resumed: `history` of the settings.
+const RETENTION_PERIOD: Duration = Duration::from_secs(20);
 const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 const WATCH_WAIT: Duration = Duration::from_secs(2);
 const LOCKS: u32 = 5;
 const COUNTERS: u32 = 3;
 const GROUPS: u32 = 2;
-const CELLS_OF_GROUP: u32 = 4;
+const CELLS_PER_GROUP: u32 = 4;
 
-/// What callers share.
+/// The state that all callers share.
 #[derive(Clone)]
 pub struct Run {
     pub history: Rc<RefCell<History>>,
@@ -38,13 +41,13 @@
 }
 
 impl Run {
-    /// How long the run has lasted.
+    /// The time since the start of the run.
     pub fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 }
 
-/// Applications at work.
+/// Running applications.
 pub struct Applications {
     pub run: Run,
     addresses: Vec<SocketAddr>,
@@ -52,22 +55,22 @@
 }
 
 impl Applications {
-    /// Starts this many callers, and a watcher of each group.
+    /// Starts this many callers, and one watcher for each group.
     pub fn start(addresses: &[SocketAddr], callers: u32, seed: u64) -> Applications {
         let run = Run {
             history: Rc::default(),
             started_at: Instant::now(),
             is_over: Rc::default(),
         };
-        let client = |nth: u32| Client::new(&run, addresses, seed * 1_000 + u64::from(nth));
+        let client = |index: u32| Client::new(&run, addresses, seed * 1_000 + u64::from(index));
         let mut tasks: Vec<JoinHandle<()>> = (0..callers)
-            .map(|nth| {
+            .map(|index| {
                 let caller = Caller {
-                    client: client(nth),
-                    name: format!("a{nth}"),
+                    client: client(index),
+                    name: format!("a{index}"),
                     puts: 0,
                 };
-                spawn_local(caller.work())
+                spawn_local(caller.run())
             })
             .collect();
         for group in 0..GROUPS {
@@ -81,8 +84,8 @@
         }
     }
 
-    /// Has the callers end what they are at, then repeats every kind of call until it is answered: nothing may be
-    /// behind what was acknowledged.
+    /// Stops the callers after their current calls, then makes every kind of call once more and repeats it until it is
+    /// answered, so that the history shows whether any acknowledged state was lost.
     pub async fn finish(self) -> Run {
         self.run.is_over.set(true);
         for caller in self.callers {
@@ -91,34 +94,35 @@
         let mut client = Client::new(&self.run, &self.addresses, 7);
         for counter in 0..COUNTERS {
             client
-                .take_number(&format!("n{counter}"), LAST_CALLS_TIME)
+                .take_number(&format!("n{counter}"), FINAL_CALL_TIMEOUT)
                 .await;
         }
         for group in 0..GROUPS {
-            for cell in 0..CELLS_OF_GROUP {
+            for cell in 0..CELLS_PER_GROUP {
                 client
-                    .read(&format!("g{group}.{cell}"), LAST_CALLS_TIME)
+                    .read(&format!("g{group}.{cell}"), FINAL_CALL_TIMEOUT)
                     .await;
             }
             client.resume_watch(&format!("g{group}.")).await;
         }
         for lock in 0..LOCKS {
-            client.take_last(&format!("l{lock}")).await;
+            client.acquire_at_end(&format!("l{lock}")).await;
         }
         self.run
     }
 }
 
-/// What became of one attempt of a call.
+/// The result of one attempt of a call.
 enum Attempt {
+    /// Any other answer.
     Answered(Response),
-    /// 429 or 503: nothing was done.
-    TurnedAway,
-    /// Silence, a broken connection, or another 5xx.
-    Unclear,
+    /// 429 or 503: the call had no effect.
+    Rejected,
+    /// A time-out, a connection failure, or another 5xx: the call may have had an effect.
+    Unknown,
 }
 
-/// One caller's connections, one to each machine, which it keeps open while they work.
+/// The connections of one caller, one to each machine, which stay open until they fail.
 struct Client {
     run: Run,
     addresses: Vec<SocketAddr>,
@@ -144,17 +148,17 @@
         self.random.rand_range(0..below)
     }
 
-    async fn pause(&mut self, below_ms: u32) {
-        let pause = self.draw(below_ms);
-        sleep(Duration::from_millis(pause.into())).await;
+    async fn random_delay(&mut self, below_ms: u32) {
+        let random_delay = self.draw(below_ms);
+        sleep(Duration::from_millis(random_delay.into())).await;
     }
 
-    /// Sends a call to the current machine, which another one replaces if there is no clear answer.
+    /// Sends a call to the current machine. Without a clear answer, another machine becomes the current one.
     async fn attempt(
         &mut self,
         (method, path): (Method, &str),
         body: &str,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Attempt {
         let address = self.addresses[self.current];
         let request = Request::builder()
@@ -174,20 +178,20 @@
             let body = String::from_utf8_lossy(&response.body).into_owned();
             Some((connection, (response.status, body)))
         };
-        let attempt = match timeout(limit, exchange).await {
+        let attempt = match timeout(time_limit, exchange).await {
             Ok(Some((connection, (status, body)))) => {
                 self.connections[self.current] = Some(connection);
                 match status {
-                    429 | 503 => Attempt::TurnedAway,
-                    500.. => Attempt::Unclear,
+                    429 | 503 => Attempt::Rejected,
+                    500.. => Attempt::Unknown,
                     _ => Attempt::Answered((status, body)),
                 }
             }
-            _ => Attempt::Unclear,
+            _ => Attempt::Unknown,
         };
         if !matches!(attempt, Attempt::Answered(_)) {
-            let others = self.addresses.len() as u32 - 1;
-            self.current += 1 + self.random.rand_range(0..others.max(1)) as usize;
+            let other_machines = self.addresses.len() as u32 - 1;
+            self.current += 1 + self.random.rand_range(0..other_machines.max(1)) as usize;
             self.current %= self.addresses.len();
             sleep(RETRY_BACKOFF).await;
         }
@@ -196,24 +200,25 @@
 
     async fn post(&mut self, path: &str, body: &str) -> (Span, Attempt) {
         let sent = self.run.now();
-        let attempt = self.attempt((Method::POST, path), body, SILENCE).await;
+        let attempt = self.attempt((Method::POST, path), body, CALL_TIMEOUT).await;
         let received = self.run.now();
         (Span { sent, received }, attempt)
     }
 
-    /// Repeats a call without effects that matter until it is answered; `None` if that takes too long.
-    async fn repeat(
+    /// Repeats a call, whose repetition does no harm, until it is answered; `None` if that takes longer than
+    /// `retry_time`.
+    async fn call_until_answered(
         &mut self,
         (method, path): (Method, &str),
         body: &str,
-        limit: Duration,
-        within: Duration,
+        time_limit: Duration,
+        retry_time: Duration,
     ) -> Option<(Span, Response)> {
-        let until = self.run.now() + within;
+        let until = self.run.now() + retry_time;
         loop {
             let sent = self.run.now();
             let call = (method.clone(), path);
-            if let Attempt::Answered(response) = self.attempt(call, body, limit).await {
+            if let Attempt::Answered(response) = self.attempt(call, body, time_limit).await {
                 let received = self.run.now();
                 return Some((Span { sent, received }, response));
             }
@@ -223,25 +228,36 @@
         }
     }
 
-    /// Notes that a call of the end was not answered in time.
-    fn note_silence(&self, subject: &str, within: Duration) {
-        if within == LAST_CALLS_TIME {
-            let what = format!("no answer within {within:?} at the end");
-            self.run.history.borrow_mut().note("LOST", subject, what);
+    /// Records a violation (LOST) if a call at the end of the run was not answered in time. During the run this is
+    /// allowed.
+    fn report_missing_answer(&self, subject: &str, retry_time: Duration) {
+        if retry_time == FINAL_CALL_TIMEOUT {
+            let details = format!("no answer within {retry_time:?} at the end");
+            self.run
+                .history
+                .borrow_mut()
+                .add_violation("LOST", subject, details);
         }
     }
 
-    fn note_status(&self, subject: &str, response: &Response) {
-        let what = format!("unexpected answer {response:?}");
-        self.run.history.borrow_mut().note("STATUS", subject, what);
+    /// Records a violation (STATUS) for an unexpected answer.
+    fn report_unexpected_answer(&self, subject: &str, response: &Response) {
+        let details = format!("unexpected answer {response:?}");
+        self.run
+            .history
+            .borrow_mut()
+            .add_violation("STATUS", subject, details);
     }
 
-    async fn take_number(&mut self, counter: &str, within: Duration) {
+    async fn take_number(&mut self, counter: &str, retry_time: Duration) {
         let path = format!("/numbers/{counter}");
         let call = (Method::POST, path.as_str());
-        match self.repeat(call, "{}", SILENCE, within).await {
+        match self
+            .call_until_answered(call, "{}", CALL_TIMEOUT, retry_time)
+            .await
+        {
             Some((span, (200, body))) => {
-                let value = number(&body, "val");
+                let value = number_field(&body, "val");
                 let counter = counter.to_owned();
                 let numbers = &mut self.run.history.borrow_mut().numbers;
                 numbers.push(Number {
@@ -250,28 +266,31 @@
                     span,
                 });
             }
-            Some((_, response)) => self.note_status(counter, &response),
-            None => self.note_silence(counter, within),
+            Some((_, response)) => self.report_unexpected_answer(counter, &response),
+            None => self.report_missing_answer(counter, retry_time),
         }
     }
 
-    /// Reads a cell; its revision, if there was an answer.
-    async fn read(&mut self, cell: &str, within: Duration) -> Option<u64> {
+    /// Reads a cell; returns its revision if there was an answer.
+    async fn read(&mut self, cell: &str, retry_time: Duration) -> Option<u64> {
         let path = format!("/cells/{cell}/get");
         let call = (Method::GET, path.as_str());
-        let Some((span, response)) = self.repeat(call, "", SILENCE, within).await else {
-            self.note_silence(cell, within);
+        let Some((span, response)) = self
+            .call_until_answered(call, "", CALL_TIMEOUT, retry_time)
+            .await
+        else {
+            self.report_missing_answer(cell, retry_time);
             return None;
         };
         let (value, revision) = match response {
             (200, body) => {
                 let parsed = jzon::parse(&body).unwrap_or(JsonValue::Null);
                 let value = parsed["val"].as_str().unwrap_or_default().to_owned();
-                (Some(value), number(&body, "rev"))
+                (Some(value), number_field(&body, "rev"))
             }
             (404, _) => (None, 0),
             other => {
-                self.note_status(cell, &other);
+                self.report_unexpected_answer(cell, &other);
                 return None;
             }
         };
@@ -285,20 +304,24 @@
         Some(revision)
     }
 
-    /// Writes a cell, again and again until the answer is clear.
+    /// Writes a cell, and retries until there is a clear answer or the retry time is over.
     async fn put(&mut self, cell: &str, value: String, when: u64) {
         let path = format!("/cells/{cell}/put");
         let body = put_body(&value, when);
         let sent = self.run.now();
-        let mut answer = PutAnswer::TurnedAway;
-        while self.run.now() < sent + PUT_RESEND_TIME {
+        let mut outcome = PutOutcome::Rejected;
+        while self.run.now() < sent + PUT_RETRY_TIME {
             match self.post(&path, &body).await.1 {
-                Attempt::Answered((200, body)) => answer = PutAnswer::Written(number(&body, "rev")),
-                Attempt::Answered((412, body)) => answer = PutAnswer::Changed(number(&body, "rev")),
-                Attempt::Answered(other) => self.note_status(cell, &other),
-                Attempt::TurnedAway => continue,
-                Attempt::Unclear => {
-                    answer = PutAnswer::Unclear;
+                Attempt::Answered((200, body)) => {
+                    outcome = PutOutcome::Written(number_field(&body, "rev"))
+                }
+                Attempt::Answered((412, body)) => {
+                    outcome = PutOutcome::Conflict(number_field(&body, "rev"))
+                }
+                Attempt::Answered(other) => self.report_unexpected_answer(cell, &other),
+                Attempt::Rejected => continue,
+                Attempt::Unknown => {
+                    outcome = PutOutcome::Unknown;
                     continue;
                 }
             }
@@ -311,27 +334,29 @@
             value,
             when,
             span: Span { sent, received },
-            answer,
+            outcome,
         });
     }
 
-    /// Asks for the changes of a group above a revision; the revision of the answer.
+    /// Watches a group for changes above a revision; returns the revision of the answer.
     async fn watch(
         &mut self,
         group: &str,
         after: u64,
         wait: Duration,
-        within: Duration,
+        retry_time: Duration,
     ) -> Option<u64> {
         let path = format!("/watch/{group}?after={after}&wait_ms={}", wait.as_millis());
         let call = (Method::GET, path.as_str());
-        let answer = self.repeat(call, "", wait + SILENCE, within).await;
-        let Some((span, response)) = answer else {
-            self.note_silence(group, within);
+        let outcome = self
+            .call_until_answered(call, "", wait + CALL_TIMEOUT, retry_time)
+            .await;
+        let Some((span, response)) = outcome else {
+            self.report_missing_answer(group, retry_time);
             return None;
         };
         let (200, body) = response else {
-            self.note_status(group, &response);
+            self.report_unexpected_answer(group, &response);
             return None;
         };
         let parsed = jzon::parse(&body).unwrap_or(JsonValue::Null);
@@ -342,7 +367,7 @@
             value: text(event, "val"),
             revision: event["rev"].as_u64().unwrap_or_default(),
         });
-        let revision = number(&body, "rev");
+        let revision = number_field(&body, "rev");
         self.run.history.borrow_mut().watches.push(Watch {
             group: group.to_owned(),
             after,
@@ -353,33 +378,39 @@
         Some(revision)
     }
 
-    /// LOST: a watch is resumed from the oldest revision that was given less than `history` ago, up to the newest
-    /// acknowledged put.
+    /// Resumes a watch from the oldest revision that was returned less than `history` ago. Records a violation (LOST)
+    /// if the watch does not reach the newest acknowledged put.
     async fn resume_watch(&mut self, group: &str) {
         let now = self.run.now();
         let (saved, newest) = {
             let history = self.run.history.borrow();
-            let given = history.watches.iter().filter(|watch| {
+            let recent_watches = history.watches.iter().filter(|watch| {
                 watch.group == group
                     && watch.revision > 0
-                    && watch.span.received + HISTORY > now + LAST_CALLS_TIME / 10
+                    && watch.span.received + RETENTION_PERIOD > now + FINAL_CALL_TIMEOUT / 10
             });
-            let acknowledged = history.puts.iter().filter_map(|put| match put.answer {
-                PutAnswer::Written(revision) if put.cell.starts_with(group) => Some(revision),
+            let acknowledged = history.puts.iter().filter_map(|put| match put.outcome {
+                PutOutcome::Written(revision) if put.cell.starts_with(group) => Some(revision),
                 _ => None,
             });
-            (given.map(|watch| watch.revision).min(), acknowledged.max())
+            (
+                recent_watches.map(|watch| watch.revision).min(),
+                acknowledged.max(),
+            )
         };
         let (Some(mut after), Some(newest)) = (saved, newest) else {
             return;
         };
         while after < newest {
             let wait = Duration::from_millis(200);
-            match self.watch(group, after, wait, LAST_CALLS_TIME).await {
+            match self.watch(group, after, wait, FINAL_CALL_TIMEOUT).await {
                 Some(revision) if revision > after => after = revision,
                 Some(_) => {
-                    let what = format!("a watch from {after} ends before {newest}");
-                    self.run.history.borrow_mut().note("LOST", group, what);
+                    let details = format!("a watch from {after} ends before {newest}");
+                    self.run
+                        .history
+                        .borrow_mut()
+                        .add_violation("LOST", group, details);
                     return;
                 }
                 None => return,
@@ -387,33 +418,33 @@
         }
     }
 
-    /// LOST: a lock can be had at the end, once all holds are over.
-    async fn take_last(&mut self, lock: &str) {
-        let until = self.run.now() + LAST_CALLS_TIME;
+    /// Acquires a lock at the end of the run, once all leases have expired. Records a violation (LOST) if that fails.
+    async fn acquire_at_end(&mut self, lock: &str) {
+        let until = self.run.now() + FINAL_CALL_TIMEOUT;
         let (path, body) = (format!("/locks/{lock}/begin"), begin_body("last", 2_000));
         while self.run.now() < until {
             let (span, attempt) = self.post(&path, &body).await;
             match attempt {
                 Attempt::Answered((200, body)) => {
-                    let hold = Hold {
+                    let lease = Lease {
                         lock: lock.to_owned(),
                         owner: "last".to_owned(),
-                        fence: number(&body, "fence"),
+                        fencing_token: number_field(&body, "fence"),
                         span,
                         until: span.sent + Duration::from_millis(2_000),
                     };
-                    return self.run.history.borrow_mut().holds.push(hold);
+                    return self.run.history.borrow_mut().leases.push(lease);
                 }
                 Attempt::Answered((409, _)) => sleep(RETRY_BACKOFF).await,
-                Attempt::Answered(other) => return self.note_status(lock, &other),
-                Attempt::TurnedAway | Attempt::Unclear => {}
+                Attempt::Answered(other) => return self.report_unexpected_answer(lock, &other),
+                Attempt::Rejected | Attempt::Unknown => {}
             }
         }
-        self.note_silence(lock, LAST_CALLS_TIME);
+        self.report_missing_answer(lock, FINAL_CALL_TIMEOUT);
     }
 }
 
-/// A caller of all kinds of calls but watches.
+/// A caller that makes all kinds of calls except watches.
 struct Caller {
     client: Client,
     name: String,
@@ -421,145 +452,148 @@
 }
 
 impl Caller {
-    async fn work(mut self) {
+    async fn run(mut self) {
         while !self.client.run.is_over.get() {
             match self.client.draw(10) {
-                0..=3 => self.hold_lock().await,
+                0..=3 => self.use_lock().await,
                 4..=5 => {
                     let counter = format!("n{}", self.client.draw(COUNTERS));
-                    self.client.take_number(&counter, SILENCE).await;
+                    self.client.take_number(&counter, CALL_TIMEOUT).await;
                 }
                 6..=8 => self.change_cell().await,
                 _ => {
                     let cell = self.draw_cell();
-                    self.client.read(&cell, SILENCE).await;
+                    self.client.read(&cell, CALL_TIMEOUT).await;
                 }
             }
-            self.client.pause(40).await;
+            self.client.random_delay(40).await;
         }
     }
 
     fn draw_cell(&mut self) -> String {
-        let (group, cell) = (self.client.draw(GROUPS), self.client.draw(CELLS_OF_GROUP));
+        let (group, cell) = (self.client.draw(GROUPS), self.client.draw(CELLS_PER_GROUP));
         format!("g{group}.{cell}")
     }
 
     async fn change_cell(&mut self) {
         let cell = self.draw_cell();
-        if let Some(when) = self.client.read(&cell, SILENCE).await {
+        if let Some(when) = self.client.read(&cell, CALL_TIMEOUT).await {
             self.puts += 1;
             let value = format!("{}-{}", self.name, self.puts);
             self.client.put(&cell, value, when).await;
         }
     }
 
-    /// Asks for a lock a few times. Once it has it, it keeps it for a moment or renews it, dies while holding it, or
-    /// sleeps beyond its time.
-    async fn hold_lock(&mut self) {
+    /// Tries to acquire a lock. Then holds it for a moment or renews it a few times, and releases it; or stops without
+    /// a release, as if the caller had crashed; or sleeps until after the lease has expired.
+    async fn use_lock(&mut self) {
         let lock = format!("l{}", self.client.draw(LOCKS));
-        let hold_ms = 300 + self.client.draw(1_500);
-        let Some(mut hold) = self.begin(&lock, hold_ms).await else {
+        let lease_ms = 300 + self.client.draw(1_500);
+        let Some(mut lease) = self.acquire(&lock, lease_ms).await else {
             return;
         };
         match self.client.draw(10) {
             0 => {}
             1 => {
-                let over = hold.until.saturating_sub(self.client.run.now());
-                sleep(over).await;
-                self.client.pause(hold_ms).await;
-                // Whatever the answer is, its time is over.
+                let remaining_lease = lease.until.saturating_sub(self.client.run.now());
+                sleep(remaining_lease).await;
+                self.client.random_delay(lease_ms).await;
+                // The lease has expired, whatever the answer to this late renewal is.
                 let path = format!("/locks/{lock}/heartbeat");
-                let body = heartbeat_body(&self.name, hold.fence, hold_ms.into());
+                let body = heartbeat_body(&self.name, lease.fencing_token, lease_ms.into());
                 self.client.post(&path, &body).await;
-                self.client.run.history.borrow_mut().holds.push(hold);
+                self.client.run.history.borrow_mut().leases.push(lease);
                 return;
             }
             2..=4 => {
                 for _ in 0..self.client.draw(8) {
-                    sleep(Duration::from_millis(u64::from(hold_ms) / 3)).await;
-                    if !self.renew(&mut hold, hold_ms).await {
+                    sleep(Duration::from_millis(u64::from(lease_ms) / 3)).await;
+                    if !self.renew(&mut lease, lease_ms).await {
                         break;
                     }
                 }
-                return self.give_back(hold).await;
+                return self.release(lease).await;
             }
             _ => {
-                self.client.pause(60).await;
-                return self.give_back(hold).await;
+                self.client.random_delay(60).await;
+                return self.release(lease).await;
             }
         }
-        self.client.run.history.borrow_mut().holds.push(hold);
+        self.client.run.history.borrow_mut().leases.push(lease);
     }
 
-    async fn begin(&mut self, lock: &str, hold_ms: u32) -> Option<Hold> {
+    /// Tries a few times to acquire a lock; `None` if it was not granted before the lease would have expired.
+    async fn acquire(&mut self, lock: &str, lease_ms: u32) -> Option<Lease> {
         let path = format!("/locks/{lock}/begin");
-        let body = begin_body(&self.name, hold_ms.into());
+        let body = begin_body(&self.name, lease_ms.into());
         for _ in 0..6 {
             let (span, attempt) = self.client.post(&path, &body).await;
             match attempt {
                 Attempt::Answered((200, body)) => {
-                    let until = span.sent + Duration::from_millis(hold_ms.into());
-                    return (span.received < until).then(|| Hold {
+                    let until = span.sent + Duration::from_millis(lease_ms.into());
+                    return (span.received < until).then(|| Lease {
                         lock: lock.to_owned(),
                         owner: self.name.clone(),
-                        fence: number(&body, "fence"),
+                        fencing_token: number_field(&body, "fence"),
                         span,
                         until,
                     });
                 }
-                Attempt::Answered((409, _)) => self.client.pause(200).await,
-                Attempt::Answered(other) => self.client.note_status(lock, &other),
-                Attempt::TurnedAway | Attempt::Unclear => {}
+                Attempt::Answered((409, _)) => self.client.random_delay(200).await,
+                Attempt::Answered(other) => self.client.report_unexpected_answer(lock, &other),
+                Attempt::Rejected | Attempt::Unknown => {}
             }
         }
         None
     }
 
-    /// Whether the caller still holds the lock.
-    async fn renew(&mut self, hold: &mut Hold, hold_ms: u32) -> bool {
-        let path = format!("/locks/{}/heartbeat", hold.lock);
-        let body = heartbeat_body(&self.name, hold.fence, hold_ms.into());
-        while self.client.run.now() < hold.until {
+    /// Renews a lock; returns whether the caller still holds it.
+    async fn renew(&mut self, lease: &mut Lease, lease_ms: u32) -> bool {
+        let path = format!("/locks/{}/heartbeat", lease.lock);
+        let body = heartbeat_body(&self.name, lease.fencing_token, lease_ms.into());
+        while self.client.run.now() < lease.until {
             let (span, attempt) = self.client.post(&path, &body).await;
             match attempt {
-                Attempt::Answered((200, _)) if span.received < hold.until => {
-                    let until = span.sent + Duration::from_millis(hold_ms.into());
-                    hold.until = hold.until.max(until);
+                Attempt::Answered((200, _)) if span.received < lease.until => {
+                    let until = span.sent + Duration::from_millis(lease_ms.into());
+                    lease.until = lease.until.max(until);
                     return true;
                 }
                 Attempt::Answered((409, _)) => {
-                    hold.until = hold.until.min(span.received);
+                    lease.until = lease.until.min(span.received);
                     return false;
                 }
                 Attempt::Answered(_) => return false,
-                Attempt::TurnedAway | Attempt::Unclear => {}
+                Attempt::Rejected | Attempt::Unknown => {}
             }
         }
         false
     }
 
-    /// Gives the lock back; now and then with one attempt only, as nothing depends on it for the caller.
-    async fn give_back(&mut self, mut hold: Hold) {
-        hold.until = hold.until.min(self.client.run.now());
-        let path = format!("/locks/{}/finish", hold.lock);
-        let body = finish_body(&self.name, hold.fence);
-        let lock = hold.lock.clone();
-        self.client.run.history.borrow_mut().holds.push(hold);
+    /// Releases a lock with one to three attempts. Nothing in the caller depends on the success.
+    async fn release(&mut self, mut lease: Lease) {
+        lease.until = lease.until.min(self.client.run.now());
+        let path = format!("/locks/{}/finish", lease.lock);
+        let body = finish_body(&self.name, lease.fencing_token);
+        let lock = lease.lock.clone();
+        self.client.run.history.borrow_mut().leases.push(lease);
         for _ in 0..1 + self.client.draw(3) {
             match self.client.post(&path, &body).await.1 {
                 Attempt::Answered((200, _)) => return,
-                Attempt::Answered(other) => return self.client.note_status(&lock, &other),
-                Attempt::TurnedAway | Attempt::Unclear => {}
+                Attempt::Answered(other) => {
+                    return self.client.report_unexpected_answer(&lock, &other)
+                }
+                Attempt::Rejected | Attempt::Unknown => {}
             }
         }
     }
 }
 
-/// Follows a group from its present revision on.
+/// Watches a group from its current revision on until the run is over.
 async fn watch(mut client: Client, group: String) {
     let mut after = 0;
     while !client.run.is_over.get() {
-        let watched = client.watch(&group, after, WATCH_WAIT, SILENCE).await;
+        let watched = client.watch(&group, after, WATCH_WAIT, CALL_TIMEOUT).await;
         after = watched.unwrap_or(after);
         if after == 0 {
             sleep(RETRY_BACKOFF).await;
--- a/crates/emberpin-demo/tests/core_machines/faults.rs
+++ b/crates/emberpin-demo/tests/core_machines/faults.rs
@@ -1,4 +1,5 @@
-//! Signals, restarts, lost disks and changed settings, in series that overlap.
+//! Injects faults at random: series of freezes, kills, graceful shutdowns, restarts and changed settings that may
+//! overlap, and lost disks.
 
 use super::{CoreMachines, ROLES};
 use emberpin_demo::node_settings::StartMode;
@@ -8,64 +9,66 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// How long all machines have to be well before a disk may be taken away: `sync_time` of the settings.
+/// How long all processes must have run without a fault before a disk may be removed: `sync_time` of the settings.
 const SYNC_TIME: Duration = Duration::from_secs(6);
-/// A process that was asked to end has ended by then.
-const REPAIR_TIME: Duration = Duration::from_secs(20);
+/// The maximum time until all planned steps are done, including the exits of processes that received SIGTERM.
+const REPAIR_TIMEOUT: Duration = Duration::from_secs(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What is done to a process later.
+/// A planned step that ends a fault of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
+    /// Resumes the frozen process.
     Continue,
+    /// Starts the process.
     Start,
-    /// Starts it once it has ended.
-    StartAfterEnd,
+    /// Starts the process once it has exited.
+    StartAfterExit,
 }
 
-struct Planned {
+struct PlannedStep {
     at: Instant,
     machine: usize,
     role: Role,
     step: Step,
 }
 
-/// Draws faults from a seed, and says what it did.
+/// Injects faults that are drawn from a seed, and logs them.
 pub struct Faults {
     random: Rand32,
     started_at: Instant,
-    /// The machine that most faults of the present series hit.
+    /// The machine that most faults of the current series hit.
     victim: usize,
-    /// How many faults of ten hit any machine.
-    spread: u32,
-    planned: Vec<Planned>,
-    /// When some process was last down or frozen.
-    last_trouble: Instant,
+    /// How many faults out of ten hit any machine instead of the victim.
+    any_machine_of_ten: u32,
+    planned: Vec<PlannedStep>,
+    /// When a fault last began or a planned step was last due.
+    last_fault_at: Instant,
     pub log: Vec<String>,
 }
 
 impl Faults {
     pub fn new(seed: u64) -> Faults {
         let mut random = Rand32::new(seed);
-        let spread = [0, 3, 10][random.rand_range(0..3) as usize];
+        let any_machine_of_ten = [0, 3, 10][random.rand_range(0..3) as usize];
         Faults {
             random,
             started_at: Instant::now(),
             victim: 0,
-            spread,
+            any_machine_of_ten,
             planned: Vec::new(),
-            last_trouble: Instant::now(),
+            last_fault_at: Instant::now(),
             log: Vec::new(),
         }
     }
 
-    /// Troubles the machines for this long. Afterwards all processes run.
-    pub async fn trouble(&mut self, machines: &mut CoreMachines, duration: Duration) {
+    /// Injects faults for this long. Afterwards all processes are running.
+    pub async fn inject_for(&mut self, machines: &mut CoreMachines, duration: Duration) {
         let end = Instant::now() + duration;
         let mut next_fault = Instant::now() + self.draw_time(200, 1_500);
         let mut left_in_series = 0;
         while Instant::now() < end {
-            self.carry_out_due(machines);
+            self.run_due_steps(machines);
             if Instant::now() >= next_fault {
                 if left_in_series == 0 {
                     left_in_series = 1 + self.random.rand_range(0..6);
@@ -84,12 +87,12 @@
         self.repair(machines).await;
     }
 
-    /// Takes the disk of one machine away, once all have been well for long enough.
+    /// Removes the disk of one machine, once all processes have run without a fault for `SYNC_TIME`.
     pub async fn lose_disk(&mut self, machines: &mut CoreMachines) {
         self.repair(machines).await;
-        sleep_until(self.last_trouble + SYNC_TIME).await;
+        sleep_until(self.last_fault_at + SYNC_TIME).await;
         let machine = self.draw_machine(machines);
-        self.note(format!("machine {machine} loses its disk"));
+        self.log_event(format!("machine {machine} loses its disk"));
         machines.kill_machine(machine);
         machines.remove_disk(machine);
         let at = Instant::now() + self.draw_time(0, 1_500);
@@ -98,11 +101,11 @@
         }
     }
 
-    /// Ends all troubles.
+    /// Ends all faults: waits for the planned steps, and starts all processes that are not running.
     async fn repair(&mut self, machines: &mut CoreMachines) {
-        let until = Instant::now() + REPAIR_TIME;
+        let until = Instant::now() + REPAIR_TIMEOUT;
         while !self.planned.is_empty() {
-            self.carry_out_due(machines);
+            self.run_due_steps(machines);
             sleep_until(Instant::now() + POLL_INTERVAL).await;
             let still_planned = self.planned.first().map(|planned| planned.step);
             assert!(
@@ -112,12 +115,12 @@
             );
         }
         machines.restart_all();
-        self.note("all processes run".into());
+        self.log_event("all processes run".into());
     }
 
     fn begin_fault(&mut self, machines: &mut CoreMachines) {
         let machine = match self.random.rand_range(0..10) {
-            drawn if drawn < self.spread => self.draw_machine(machines),
+            drawn if drawn < self.any_machine_of_ten => self.draw_machine(machines),
             _ => self.victim,
         };
         let roles: &[Role] = match self.random.rand_range(0..4) {
@@ -128,47 +131,47 @@
         match self.random.rand_range(0..20) {
             0..=7 => {
                 let frozen = self.draw_time(100, 4_000);
-                self.note(format!(
+                self.log_event(format!(
                     "machine {machine} freezes for {frozen:?}: {roles:?}"
                 ));
                 for role in roles {
-                    machines.signal(machine, *role, Signal::SIGSTOP);
+                    machines.send_signal(machine, *role, Signal::SIGSTOP);
                     self.plan(Instant::now() + frozen, machine, *role, Step::Continue);
                 }
             }
             8..=12 => {
                 let down = self.draw_time(0, 2_500);
-                self.note(format!(
+                self.log_event(format!(
                     "machine {machine} is killed for {down:?}: {roles:?}"
                 ));
                 for role in roles {
-                    self.expect_no_end(machine, *role);
+                    self.cancel_start_after_exit(machine, *role);
                     machines.kill(machine, *role);
                     self.plan(Instant::now() + down, machine, *role, Step::Start);
                 }
             }
             13..=15 => {
-                self.note(format!("machine {machine} is asked to end: {roles:?}"));
+                self.log_event(format!("machine {machine} is asked to end: {roles:?}"));
                 for role in roles {
                     if !machines.is_running(machine, *role) {
                         continue;
                     }
-                    machines.signal(machine, *role, Signal::SIGTERM);
-                    self.expect_no_end(machine, *role);
+                    machines.send_signal(machine, *role, Signal::SIGTERM);
+                    self.cancel_start_after_exit(machine, *role);
                     let at = Instant::now() + self.draw_time(0, 1_000);
-                    self.plan(at, machine, *role, Step::StartAfterEnd);
+                    self.plan(at, machine, *role, Step::StartAfterExit);
                 }
             }
             16..=18 => {
                 let first_seed = self.random.rand_range(0..3) as usize;
-                self.note(format!("machine {machine} gets new settings: {roles:?}"));
+                self.log_event(format!("machine {machine} gets new settings: {roles:?}"));
                 for role in roles {
                     machines.write_settings(machine, *role, StartMode::Restart, first_seed);
-                    machines.signal(machine, *role, Signal::SIGHUP);
+                    machines.send_signal(machine, *role, Signal::SIGHUP);
                 }
             }
             _ => {
-                self.note("all processes are killed".into());
+                self.log_event("all processes are killed".into());
                 self.planned.clear();
                 machines.kill_all();
                 let at = Instant::now() + self.draw_time(0, 500);
@@ -179,36 +182,36 @@
                 }
             }
         }
-        self.last_trouble = Instant::now();
+        self.last_fault_at = Instant::now();
     }
 
-    fn carry_out_due(&mut self, machines: &mut CoreMachines) {
+    fn run_due_steps(&mut self, machines: &mut CoreMachines) {
         let now = Instant::now();
-        let due: Vec<Planned> = self.planned.extract_if(.., |step| now >= step.at).collect();
+        let due: Vec<PlannedStep> = self.planned.extract_if(.., |step| now >= step.at).collect();
         for planned in due {
-            let Planned {
+            let PlannedStep {
                 machine,
                 role,
                 step,
                 ..
             } = planned;
-            self.last_trouble = now;
+            self.last_fault_at = now;
             match step {
-                Step::Continue => machines.signal(machine, role, Signal::SIGCONT),
-                Step::StartAfterEnd if !machines.has_ended(machine, role) => {
+                Step::Continue => machines.send_signal(machine, role, Signal::SIGCONT),
+                Step::StartAfterExit if !machines.has_exited(machine, role) => {
                     self.planned.push(planned);
                 }
-                Step::Start | Step::StartAfterEnd if !machines.is_running(machine, role) => {
-                    self.note(format!("machine {machine} starts its {}", role.name()));
+                Step::Start | Step::StartAfterExit if !machines.is_running(machine, role) => {
+                    self.log_event(format!("machine {machine} starts its {}", role.name()));
                     machines.start_process(machine, role, StartMode::Restart);
                 }
-                Step::Start | Step::StartAfterEnd => {}
+                Step::Start | Step::StartAfterExit => {}
             }
         }
     }
 
     fn plan(&mut self, at: Instant, machine: usize, role: Role, step: Step) {
-        self.planned.push(Planned {
+        self.planned.push(PlannedStep {
             at,
             machine,
             role,
@@ -216,10 +219,10 @@
         });
     }
 
-    /// Drops the plan to start a process once it has ended.
-    fn expect_no_end(&mut self, machine: usize, role: Role) {
+    /// Cancels the plan to start a process once it has exited.
+    fn cancel_start_after_exit(&mut self, machine: usize, role: Role) {
         self.planned.retain(|planned| {
-            planned.step != Step::StartAfterEnd
+            planned.step != Step::StartAfterExit
                 || (planned.machine, planned.role) != (machine, role)
         });
     }
@@ -232,8 +235,8 @@
         Duration::from_millis(self.random.rand_range(from_ms..to_ms).into())
     }
 
-    fn note(&mut self, what: String) {
+    fn log_event(&mut self, event: String) {
         self.log
-            .push(format!("{:?} {what}", self.started_at.elapsed()));
+            .push(format!("{:?} {event}", self.started_at.elapsed()));
     }
 }
--- a/crates/emberpin-demo/tests/core_machines/history.rs
+++ b/crates/emberpin-demo/tests/core_machines/history.rs
@@ -1,4 +1,5 @@
-//! What applications saw, each call in the steady time of its caller, and which of the rules that breaks.
+//! The history of the calls that applications made, with times on one steady clock, and the check of the history
+//! against the rules for locks, numbers and cells.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -11,40 +12,44 @@
     pub received: Duration,
 }
 
-/// A time for which a caller counted itself holder of a lock.
+/// A period in which a caller considered itself the holder of a lock.
 #[derive(Clone, Debug)]
-pub struct Hold {
+pub struct Lease {
     pub lock: String,
     pub owner: String,
-    pub fence: u64,
-    /// Of the call by which it became holder.
+    pub fencing_token: u64,
+    /// The call that acquired the lock.
     pub span: Span,
-    /// When it gave the lock up, or its time was over.
+    /// When the caller released the lock, or its lease expired.
     pub until: Duration,
 }
 
-/// How a put was answered, all of its attempts together.
+/// The outcome of a put, over all of its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PutAnswer {
+pub enum PutOutcome {
+    /// 200 with the new revision of the cell.
     Written(u64),
-    /// 412 with the revision of the cell.
-    Changed(u64),
-    /// 429 or 503 to each attempt.
-    TurnedAway,
-    Unclear,
+    /// 412 with the current revision of the cell.
+    Conflict(u64),
+    /// 429 or 503 for each attempt: nothing was written.
+    Rejected,
+    /// No clear answer: the value may have been written or not.
+    Unknown,
 }
 
+/// A conditional write of a cell. Every put of a run has a different value.
 #[derive(Clone, Debug)]
 pub struct Put {
     pub cell: String,
     pub value: String,
+    /// The revision that the cell must have.
     pub when: u64,
-    /// From the first attempt to the answer.
+    /// The time from the first attempt to the answer.
     pub span: Span,
-    pub answer: PutAnswer,
+    pub outcome: PutOutcome,
 }
 
-/// A read of a cell: its value and revision, or nothing at revision 0.
+/// A read of a cell, with its value and revision. A cell that does not exist has no value and revision 0.
 #[derive(Clone, Debug)]
 pub struct Get {
     pub cell: String,
@@ -53,6 +58,7 @@
     pub revision: u64,
 }
 
+/// A change of a cell in the answer to a watch.
 #[derive(Clone, Debug)]
 pub struct Event {
     pub cell: String,
@@ -60,7 +66,7 @@
     pub revision: u64,
 }
 
-/// An answer to a watch.
+/// An answer to a watch of a group: the changes above the revision `after` up to `revision`.
 #[derive(Clone, Debug)]
 pub struct Watch {
     pub group: String,
@@ -70,7 +76,7 @@
     pub span: Span,
 }
 
-/// A number that a counter gave.
+/// A number that a counter handed out.
 #[derive(Clone, Debug)]
 pub struct Number {
     pub counter: String,
@@ -78,12 +84,12 @@
     pub span: Span,
 }
 
-/// A broken rule, and the lock, counter, cell or group at which it was seen.
+/// A violation of a rule, and the lock, counter, cell or group at which it was observed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     pub rule: &'static str,
     pub subject: String,
-    pub what: String,
+    pub details: String,
 }
 
 impl fmt::Display for Violation {
@@ -91,52 +97,52 @@
         write!(
             formatter,
             "{} at {}: {}",
-            self.rule, self.subject, self.what
+            self.rule, self.subject, self.details
         )
     }
 }
 
-/// All that applications saw in a run.
+/// All calls of a run and their answers.
 #[derive(Default)]
 pub struct History {
-    pub holds: Vec<Hold>,
+    pub leases: Vec<Lease>,
     pub numbers: Vec<Number>,
     pub puts: Vec<Put>,
     pub gets: Vec<Get>,
     pub watches: Vec<Watch>,
-    /// Rules that were broken when the answer came, or did not come.
-    pub found: Vec<Violation>,
+    /// Violations that were detected during the run, such as a missing or unexpected answer.
+    pub recorded_violations: Vec<Violation>,
 }
 
 impl History {
-    pub fn note(&mut self, rule: &'static str, subject: &str, what: String) {
-        self.found.push(Violation {
+    pub fn add_violation(&mut self, rule: &'static str, subject: &str, details: String) {
+        self.recorded_violations.push(Violation {
             rule,
             subject: subject.to_owned(),
-            what,
+            details,
         });
     }
 
-    /// All broken rules.
+    /// All violations: those that were recorded during the run, and those that the checks find in the history.
     pub fn violations(&self) -> Vec<Violation> {
-        let mut check = History {
-            found: self.found.clone(),
+        let mut findings = History {
+            recorded_violations: self.recorded_violations.clone(),
             ..History::default()
         };
-        self.check_locks(&mut check);
-        self.check_numbers(&mut check);
-        let written = self.written(&mut check);
-        self.check_puts(&written, &mut check);
-        self.check_reads(&mut check);
-        self.check_watches(&written, &mut check);
-        check.found
+        self.check_locks(&mut findings);
+        self.check_numbers(&mut findings);
+        let written_values = self.written_values(&mut findings);
+        self.check_puts(&written_values, &mut findings);
+        self.check_reads(&mut findings);
+        self.check_watches(&written_values, &mut findings);
+        findings.recorded_violations
     }
 
-    /// What was seen at a lock, a counter, or a cell and its group, in the order of the answers.
-    pub fn of(&self, subject: &str) -> String {
+    /// Describes all calls for a lock, a counter, or a cell and its group, in the order of the answers.
+    pub fn describe(&self, subject: &str) -> String {
         let mut lines: Vec<(Duration, String)> = Vec::new();
-        for hold in self.holds.iter().filter(|hold| hold.lock == subject) {
-            lines.push((hold.span.received, format!("{hold:?}")));
+        for lease in self.leases.iter().filter(|lease| lease.lock == subject) {
+            lines.push((lease.span.received, format!("{lease:?}")));
         }
         for number in self
             .numbers
@@ -159,54 +165,68 @@
         lines.into_iter().map(|(_, line)| line + "\n").collect()
     }
 
-    /// The holds, in the order in which they began. A caller that asked for its own lock again counts by its last good
-    /// call only.
-    fn holds_in_order(&self) -> Vec<Hold> {
-        let mut holds = self.holds.clone();
-        holds.sort_by_key(|hold| std::cmp::Reverse(hold.span.received));
+    /// The leases, in the order in which they began. If a caller acquires a lock that it already holds, its earlier
+    /// lease ends there.
+    fn leases_in_order(&self) -> Vec<Lease> {
+        let mut leases = self.leases.clone();
+        leases.sort_by_key(|lease| std::cmp::Reverse(lease.span.received));
         let mut next_begin: BTreeMap<(String, String), Duration> = BTreeMap::new();
-        for hold in &mut holds {
-            let caller = (hold.lock.clone(), hold.owner.clone());
-            if let Some(next) = next_begin.insert(caller, hold.span.received) {
-                hold.until = hold.until.min(next);
+        for lease in &mut leases {
+            let caller = (lease.lock.clone(), lease.owner.clone());
+            if let Some(next) = next_begin.insert(caller, lease.span.received) {
+                lease.until = lease.until.min(next);
             }
         }
-        holds.reverse();
-        holds
+        leases.reverse();
+        leases
     }
 
-    /// ONE: two holders at one moment, two with one fence, or one whose fence is not above that of an earlier holder.
-    fn check_locks(&self, check: &mut History) {
-        let holds = self.holds_in_order();
-        for (nth, first) in holds.iter().enumerate() {
-            for second in &holds[nth + 1..] {
+    /// Checks the rule ONE: a lock has at most one holder at a time, no two holders have the same fencing token, and a
+    /// later holder has a higher token than an earlier one.
+    fn check_locks(&self, findings: &mut History) {
+        let leases = self.leases_in_order();
+        for (index, first) in leases.iter().enumerate() {
+            for second in &leases[index + 1..] {
                 if first.lock != second.lock {
                     continue;
                 }
-                let what = || format!("{first:?} and {second:?}");
+                let details = || format!("{first:?} and {second:?}");
                 let is_later = first.span.received < second.span.sent;
                 if first.owner == second.owner {
-                    // The holder itself may be given its fence again.
-                    if is_later && second.fence < first.fence {
-                        check.note("ONE", &first.lock, format!("a lower fence: {}", what()));
+                    // A holder that acquires its own lock again may get the same fencing token.
+                    if is_later && second.fencing_token < first.fencing_token {
+                        findings.add_violation(
+                            "ONE",
+                            &first.lock,
+                            format!("a lower fence: {}", details()),
+                        );
                     }
                     continue;
                 }
                 if second.span.received < first.until {
-                    check.note("ONE", &first.lock, format!("two holders: {}", what()));
+                    findings.add_violation(
+                        "ONE",
+                        &first.lock,
+                        format!("two holders: {}", details()),
+                    );
                 }
-                if first.fence == second.fence {
-                    check.note("ONE", &first.lock, format!("one fence: {}", what()));
+                if first.fencing_token == second.fencing_token {
+                    findings.add_violation("ONE", &first.lock, format!("one fence: {}", details()));
                 }
-                if is_later && second.fence <= first.fence {
-                    check.note("ONE", &first.lock, format!("a lower fence: {}", what()));
+                if is_later && second.fencing_token <= first.fencing_token {
+                    findings.add_violation(
+                        "ONE",
+                        &first.lock,
+                        format!("a lower fence: {}", details()),
+                    );
                 }
             }
         }
     }
 
-    /// ORDER: a number that is given twice, or is not above one given before its call was sent.
-    fn check_numbers(&self, check: &mut History) {
+    /// Checks the rule ORDER for numbers: none is handed out twice, and each is above all numbers that were handed out
+    /// before its call was sent.
+    fn check_numbers(&self, findings: &mut History) {
         let mut by_counter: BTreeMap<&str, Vec<(u64, Span)>> = BTreeMap::new();
         for Number {
             counter,
@@ -216,15 +236,16 @@
         {
             by_counter.entry(counter).or_default().push((*value, *span));
         }
-        for (counter, given) in by_counter {
-            check_rising(counter, given, check);
+        for (counter, entries) in by_counter {
+            check_rising(counter, entries, findings);
         }
     }
 
-    /// The values that are known to have been written: by group and revision, the cell and its value.
-    fn written(&self, check: &mut History) -> BTreeMap<(String, u64), (String, String)> {
-        let acknowledged = self.puts.iter().filter_map(|put| match put.answer {
-            PutAnswer::Written(revision) => Some((&put.cell, &put.value, revision)),
+    /// Collects the values that are known to have been written: for each group and revision, the cell and its value.
+    /// Reports a revision with two values (ORDER) and a value with two revisions (MIXED).
+    fn written_values(&self, findings: &mut History) -> BTreeMap<(String, u64), (String, String)> {
+        let acknowledged = self.puts.iter().filter_map(|put| match put.outcome {
+            PutOutcome::Written(revision) => Some((&put.cell, &put.value, revision)),
             _ => None,
         });
         let watched = self.watches.iter().flat_map(|watch| &watch.events);
@@ -233,40 +254,51 @@
             let value = get.value.as_ref()?;
             Some((&get.cell, value, get.revision))
         });
-        let (mut written, mut revisions) = (BTreeMap::new(), BTreeMap::new());
+        let (mut written_values, mut revisions) = (BTreeMap::new(), BTreeMap::new());
         for (cell, value, revision) in acknowledged.chain(watched).chain(read) {
             let (key, pair) = (
                 (group_of(cell).to_owned(), revision),
                 (cell.clone(), value.clone()),
             );
-            let first = written.entry(key).or_insert_with(|| pair.clone());
+            let first = written_values.entry(key).or_insert_with(|| pair.clone());
             if *first != pair {
-                let what = format!("revision {revision} is that of {first:?} and of {pair:?}");
-                check.note("ORDER", cell, what);
+                let details = format!("revision {revision} is that of {first:?} and of {pair:?}");
+                findings.add_violation("ORDER", cell, details);
             }
             let first = *revisions.entry(pair).or_insert(revision);
             if first != revision {
-                let what = format!("{value} is shown under {first} and {revision}");
-                check.note("MIXED", cell, what);
+                let details = format!("{value} is shown under {first} and {revision}");
+                findings.add_violation("MIXED", cell, details);
             }
         }
-        written
+        written_values
     }
 
-    fn check_puts(&self, written: &BTreeMap<(String, u64), (String, String)>, check: &mut History) {
+    /// Checks the puts against the written values. MIXED: a value that nobody put, or a conflict with a revision that
+    /// the cell never had. REFUSED: a value that was written although its put was rejected. ORDER: a revision that is
+    /// not above the required one, or a put that overwrote a later revision than the required one.
+    fn check_puts(
+        &self,
+        written_values: &BTreeMap<(String, u64), (String, String)>,
+        findings: &mut History,
+    ) {
         let mut by_group: BTreeMap<&str, Vec<(u64, Span)>> = BTreeMap::new();
         let values: BTreeMap<(&str, &str), &Put> = self
             .puts
             .iter()
             .map(|put| ((put.cell.as_str(), put.value.as_str()), put))
             .collect();
-        for ((_, revision), (cell, value)) in written {
+        for ((_, revision), (cell, value)) in written_values {
             match values.get(&(cell.as_str(), value.as_str())) {
-                None => check.note("MIXED", cell, format!("nobody put {value} at {revision}")),
+                None => findings.add_violation(
+                    "MIXED",
+                    cell,
+                    format!("nobody put {value} at {revision}"),
+                ),
                 Some(put) => {
-                    if let PutAnswer::Changed(_) | PutAnswer::TurnedAway = put.answer {
-                        let what = format!("shown at {revision}, though turned away: {put:?}");
-                        check.note("REFUSED", cell, what);
+                    if let PutOutcome::Conflict(_) | PutOutcome::Rejected = put.outcome {
+                        let details = format!("shown at {revision}, though turned away: {put:?}");
+                        findings.add_violation("REFUSED", cell, details);
                     }
                 }
             }
@@ -278,40 +310,45 @@
             };
             let range = |from: u64, to: u64| {
                 let range = (group.to_owned(), from)..(group.to_owned(), to);
-                written.range(range).filter_map(revision_of_cell)
+                written_values.range(range).filter_map(revision_of_cell)
             };
-            match put.answer {
-                PutAnswer::Written(revision) => {
+            match put.outcome {
+                PutOutcome::Written(revision) => {
                     by_group
                         .entry(group)
                         .or_default()
                         .push((revision, put.span));
                     if put.when >= revision {
-                        check.note("ORDER", &put.cell, format!("not above `when`: {put:?}"));
+                        findings.add_violation(
+                            "ORDER",
+                            &put.cell,
+                            format!("not above `when`: {put:?}"),
+                        );
                     } else if let Some(later) = range(put.when + 1, revision).next() {
-                        let what = format!("over the later revision {later}: {put:?}");
-                        check.note("ORDER", &put.cell, what);
+                        let details = format!("over the later revision {later}: {put:?}");
+                        findings.add_violation("ORDER", &put.cell, details);
                     }
                 }
-                PutAnswer::Changed(0) | PutAnswer::TurnedAway | PutAnswer::Unclear => {}
-                PutAnswer::Changed(revision) => {
+                PutOutcome::Conflict(0) | PutOutcome::Rejected | PutOutcome::Unknown => {}
+                PutOutcome::Conflict(revision) => {
                     if range(revision, revision + 1).next().is_none() {
-                        let what = format!("no put gave the cell this revision: {put:?}");
-                        check.note("MIXED", &put.cell, what);
+                        let details = format!("no put gave the cell this revision: {put:?}");
+                        findings.add_violation("MIXED", &put.cell, details);
                     }
                 }
             }
         }
-        for (group, given) in by_group {
-            check_rising(group, given, check);
+        for (group, entries) in by_group {
+            check_rising(group, entries, findings);
         }
     }
 
-    /// STALE: a read below a put that was acknowledged before the read was sent.
-    fn check_reads(&self, check: &mut History) {
+    /// Checks the rule STALE: no read returns an older revision than a put that was acknowledged before the read was
+    /// sent.
+    fn check_reads(&self, findings: &mut History) {
         let mut acknowledged: BTreeMap<&str, Vec<(Duration, u64)>> = BTreeMap::new();
         for put in &self.puts {
-            if let PutAnswer::Written(revision) = put.answer {
+            if let PutOutcome::Written(revision) = put.outcome {
                 let of_cell = acknowledged.entry(&put.cell).or_default();
                 of_cell.push((put.span.received, revision));
             }
@@ -321,59 +358,62 @@
             let before = puts.filter(|(received, _)| *received < get.span.sent);
             let newest = before.map(|(_, revision)| *revision).max();
             if newest.is_some_and(|newest| get.revision < newest) {
-                let what = format!("behind {newest:?}: {get:?}");
-                check.note("STALE", &get.cell, what);
+                let details = format!("behind {newest:?}: {get:?}");
+                findings.add_violation("STALE", &get.cell, details);
             }
         }
     }
 
-    /// ORDER: events that do not rise, or pass over a put inside their span.
+    /// Checks the rule ORDER for watches: the revisions of the events increase, lie in the watched range, and include
+    /// every written revision of it.
     fn check_watches(
         &self,
-        written: &BTreeMap<(String, u64), (String, String)>,
-        check: &mut History,
+        written_values: &BTreeMap<(String, u64), (String, String)>,
+        findings: &mut History,
     ) {
         for watch in &self.watches {
-            let told: Vec<u64> = watch.events.iter().map(|event| event.revision).collect();
-            let is_rising = told.windows(2).all(|pair| pair[0] < pair[1]);
-            let is_inside = told
+            let event_revisions: Vec<u64> =
+                watch.events.iter().map(|event| event.revision).collect();
+            let is_rising = event_revisions.windows(2).all(|pair| pair[0] < pair[1]);
+            let is_inside = event_revisions
                 .iter()
                 .all(|revision| (watch.after + 1..=watch.revision).contains(revision));
             if !is_rising || !is_inside || watch.revision < watch.after {
-                check.note("ORDER", &watch.group, format!("events: {watch:?}"));
+                findings.add_violation("ORDER", &watch.group, format!("events: {watch:?}"));
             }
-            // With 0, only the revision was asked for.
+            // A watch after revision 0 only requests the current revision.
             if watch.after == 0 || watch.revision <= watch.after {
                 continue;
             }
-            let told: BTreeSet<u64> = told.into_iter().collect();
+            let event_revisions: BTreeSet<u64> = event_revisions.into_iter().collect();
             let key = |revision| (watch.group.clone(), revision);
             let span = key(watch.after + 1)..=key(watch.revision);
-            for ((_, revision), put) in written.range(span) {
-                if !told.contains(revision) {
-                    let what = format!("passes over {put:?} at {revision}: {watch:?}");
-                    check.note("ORDER", &watch.group, what);
+            for ((_, revision), put) in written_values.range(span) {
+                if !event_revisions.contains(revision) {
+                    let details = format!("passes over {put:?} at {revision}: {watch:?}");
+                    findings.add_violation("ORDER", &watch.group, details);
                 }
             }
         }
     }
 }
 
-/// ORDER: of numbers or revisions, none is given twice, and each is above all that were given before its call was sent.
-fn check_rising(subject: &str, mut given: Vec<(u64, Span)>, check: &mut History) {
-    given.sort_by_key(|(value, _)| *value);
-    for pair in given.windows(2) {
+/// Checks the rule ORDER for numbers or revisions: none is handed out twice, and each is above all that were handed out
+/// before its call was sent.
+fn check_rising(subject: &str, mut entries: Vec<(u64, Span)>, findings: &mut History) {
+    entries.sort_by_key(|(value, _)| *value);
+    for pair in entries.windows(2) {
         if pair[0].0 == pair[1].0 {
-            check.note("ORDER", subject, format!("given twice: {pair:?}"));
+            findings.add_violation("ORDER", subject, format!("given twice: {pair:?}"));
         }
     }
-    // Of those above a value, none was received before the value's call was sent.
+    // No higher value may have been received before the call for a value was sent.
     let mut earliest_above: Option<(u64, Span)> = None;
-    for (value, span) in given.into_iter().rev() {
+    for (value, span) in entries.into_iter().rev() {
         if let Some((above, earlier)) = earliest_above {
             if earlier.received < span.sent {
-                let what = format!("{value} ({span:?}) is not above {above} ({earlier:?})");
-                check.note("ORDER", subject, what);
+                let details = format!("{value} ({span:?}) is not above {above} ({earlier:?})");
+                findings.add_violation("ORDER", subject, details);
             }
         }
         if earliest_above.is_none_or(|(_, earlier)| span.received < earlier.received) {
--- a/crates/emberpin-demo/tests/core_machines/mod.rs
+++ b/crates/emberpin-demo/tests/core_machines/mod.rs
@@ -1,5 +1,5 @@
-//! Core machines on loopback, each with a store and a registry, whose processes are signalled one by one; and
-//! applications that call them.
+//! Core machines on loopback, each with a store and a registry as separate processes that tests can kill, signal and
+//! restart one by one, and applications that call them.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 pub mod applications;
@@ -14,7 +14,7 @@
 use jzon::JsonValue;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
-use settings::{Applications, MachineSettings};
+use settings::{CoordinationApi, MachineSettings};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -25,42 +25,42 @@
 
 /// A call without a clear answer in this time fails its test.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
-/// An application calls another machine after this time of silence.
-pub const SILENCE: Duration = Duration::from_secs(1);
-/// Pause before the next attempt of a call.
+/// An application calls another machine if there is no answer within this time.
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// The delay before the next attempt of a call.
 const RETRY_BACKOFF: Duration = Duration::from_millis(50);
-/// Each machine has the same consecutive ports: those that processes connect to each other over, that of the calls, and
-/// that of the store's metrics.
+/// Each machine uses the same consecutive ports: first those for connections between processes, then one for the HTTP
+/// API (`ctl`) and one for the store's metrics.
 const PEER_PORTS: u16 = 4;
 const PORTS_PER_MACHINE: u16 = PEER_PORTS + 2;
-/// Below the ports that the system assigns by itself; apart from those of other tests.
+/// Below the range from which the system assigns ephemeral ports, and distinct from the ports of other tests.
 const LOWEST_PORT: u16 = 2_000;
 const HIGHEST_PORT: u16 = 7_000;
-/// Processes of a machine, in the order in which they are started.
+/// The roles of a machine's processes, in the order in which they are started.
 pub const ROLES: [Role; 2] = [Role::Store, Role::Registry];
 
 /// The response to a call: its status and its body.
 pub type Response = (u16, String);
 
-/// Core machines. Their processes are killed when this is dropped.
+/// Running core machines. Dropping this kills their processes.
 pub struct CoreMachines {
     addresses: Vec<Ipv4Addr>,
     port: u16,
-    applications: Applications,
+    coordination_api: CoordinationApi,
     folder: TempDir,
-    /// By the machine's number and the role's name.
+    /// The running processes, by the index of the machine and the name of the role.
     processes: BTreeMap<(usize, &'static str), Child>,
 }
 
 impl CoreMachines {
-    /// Starts this many machines for the first time on addresses `127.0.net.*`; no two tests have the same.
-    pub fn start(net: u8, count: usize, applications: Applications) -> CoreMachines {
-        let address = |number: usize| Ipv4Addr::new(127, 0, net, 11 + number as u8);
+    /// Starts this many machines as a new deployment on addresses `127.0.net.*`. Each test must use another `net`.
+    pub fn start(net: u8, count: usize, coordination_api: CoordinationApi) -> CoreMachines {
+        let address = |index: usize| Ipv4Addr::new(127, 0, net, 11 + index as u8);
         let addresses: Vec<Ipv4Addr> = (0..count).map(address).collect();
         let mut machines = CoreMachines {
             port: find_free_ports(&addresses),
             addresses,
-            applications,
+            coordination_api,
             folder: new_folder(),
             processes: BTreeMap::new(),
         };
@@ -70,16 +70,16 @@
         machines
     }
 
-    /// Three machines that serve applications.
+    /// Starts three machines that serve the calls for locks, numbers and cells.
     pub fn start_three(net: u8) -> CoreMachines {
-        CoreMachines::start(net, 3, Applications::Served)
+        CoreMachines::start(net, 3, CoordinationApi::Served)
     }
 
     pub fn count(&self) -> usize {
         self.addresses.len()
     }
 
-    /// Where applications call a machine.
+    /// The address at which applications call a machine.
     pub fn ctl(&self, machine: usize) -> SocketAddr {
         (self.addresses[machine], self.port + PEER_PORTS).into()
     }
@@ -123,7 +123,8 @@
         self.processes.insert((machine, role.name()), child);
     }
 
-    /// Writes the settings file of a process. `first_seed` is the machine that is named first among the seeds.
+    /// Writes the settings file of a process. `first_seed` is the index of the machine that is listed first among the
+    /// seeds.
     pub fn write_settings(
         &self,
         machine: usize,
@@ -137,14 +138,14 @@
         seeds.rotate_left(named_first);
         let settings = MachineSettings {
             ip: self.addresses[machine],
-            number: machine,
+            machine_index: machine,
             role,
             start_mode,
             disk: &self.disk(machine),
             seeds: &seeds,
             ctl: self.ctl(machine),
             peer_ports: self.port..=self.port + PEER_PORTS - 1,
-            applications: self.applications,
+            coordination_api: self.coordination_api,
         };
         let file = format!("{}-{machine}.toml", role.name());
         std::fs::write(self.folder.path().join(file), settings.to_toml()).expect("a file");
@@ -176,7 +177,7 @@
         logs
     }
 
-    /// Whether this process was started and not ended since.
+    /// Whether this process was started and has neither been killed nor found to have exited since.
     pub fn is_running(&self, machine: usize, role: Role) -> bool {
         self.processes.contains_key(&(machine, role.name()))
     }
@@ -206,7 +207,7 @@
         self.processes.clear();
     }
 
-    /// Starts all processes that do not run on the disks that are there.
+    /// Starts all processes that are not running, on the existing disks.
     pub fn restart_all(&mut self) {
         for machine in 0..self.count() {
             for role in ROLES {
@@ -217,50 +218,50 @@
         }
     }
 
-    /// Takes away the disk of a machine whose processes do not run.
+    /// Removes the disk of a machine whose processes are not running.
     pub fn remove_disk(&self, machine: usize) {
         std::fs::remove_dir_all(self.disk(machine)).expect("a disk");
     }
 
     /// Sends a signal to a process, if it runs.
-    pub fn signal(&self, machine: usize, role: Role, signal: Signal) {
+    pub fn send_signal(&self, machine: usize, role: Role, signal: Signal) {
         if let Some(child) = self.processes.get(&(machine, role.name())) {
             kill(Pid::from_raw(child.id() as i32), signal).expect("a signal");
         }
     }
 
-    /// Whether the process has ended; it is then no longer among those that run.
-    pub fn has_ended(&mut self, machine: usize, role: Role) -> bool {
+    /// Whether the process has exited. A process that has exited is removed from the running ones.
+    pub fn has_exited(&mut self, machine: usize, role: Role) -> bool {
         let Some(child) = self.processes.get_mut(&(machine, role.name())) else {
             return true;
         };
-        let has_ended = child.try_wait().expect("a process").is_some();
-        if has_ended {
+        let exited = child.try_wait().expect("a process").is_some();
+        if exited {
             self.processes.remove(&(machine, role.name()));
         }
-        has_ended
+        exited
     }
 
-    /// Calls a machine once; `None` if it does not respond within this time.
+    /// Calls a machine once; `None` if it does not respond within this time limit.
     pub async fn call_within(
         &self,
-        limit: Duration,
+        time_limit: Duration,
         machine: usize,
         (method, path): (Method, &str),
         body: &str,
     ) -> Option<Response> {
-        let call = http::call(self.ctl(machine), method, path, body.to_owned(), limit);
+        let call = http::call(self.ctl(machine), method, path, body.to_owned(), time_limit);
         let response = call.await?;
         let body = String::from_utf8_lossy(&response.body).into_owned();
         Some((response.status, body))
     }
 
-    /// Posts to a machine once, as soon as it serves: beside 503 and silence any answer is one.
+    /// Posts to a machine, and retries until its response has a status below 500. Panics after `ANSWER_TIMEOUT`.
     pub async fn post(&self, machine: usize, path: &str, body: &str) -> Response {
         self.call_served(machine, (Method::POST, path), body).await
     }
 
-    /// As [`CoreMachines::post`], for reads.
+    /// Like [`CoreMachines::post`], for reads.
     pub async fn get(&self, machine: usize, path: &str) -> Response {
         self.call_served(machine, (Method::GET, path), "").await
     }
@@ -269,9 +270,9 @@
         let (method, path) = call;
         let served = async {
             loop {
-                let limit = ANSWER_TIMEOUT;
+                let time_limit = ANSWER_TIMEOUT;
                 let call = (method.clone(), path);
-                match self.call_within(limit, machine, call, body).await {
+                match self.call_within(time_limit, machine, call, body).await {
                     Some((status, body)) if status < 500 => return (status, body),
                     _ => sleep(RETRY_BACKOFF).await,
                 }
@@ -283,19 +284,19 @@
         }
     }
 
-    /// The machine whose store carries operations out at present.
+    /// The index of the machine whose store currently leads: the one whose count of operations increases most.
     pub async fn leader(&self) -> usize {
-        let before = self.operations_done().await;
+        let before = self.completed_operations().await;
         for machine in 0..self.count() {
             self.post(machine, "/numbers/of-leader", "{}").await;
         }
-        let after = self.operations_done().await;
+        let after = self.completed_operations().await;
         let gain = |machine: &usize| after[*machine].saturating_sub(before[*machine]);
         (0..self.count()).max_by_key(gain).expect("a machine")
     }
 
-    /// How many operations each store has carried out.
-    async fn operations_done(&self) -> Vec<u64> {
+    /// The number of operations that each store has completed successfully.
+    async fn completed_operations(&self) -> Vec<u64> {
         let mut counts = Vec::new();
         for machine in 0..self.count() {
             let metrics = self.metrics(machine).await;
@@ -310,15 +311,15 @@
         counts
     }
 
-    /// The metrics of a machine's store; empty if there is no answer.
+    /// The metrics of a machine's store; empty if there is no response.
     pub async fn metrics(&self, machine: usize) -> String {
         let to = (self.addresses[machine], self.metrics_port()).into();
-        let call = http::call(to, Method::GET, "/metrics", String::new(), SILENCE);
+        let call = http::call(to, Method::GET, "/metrics", String::new(), CALL_TIMEOUT);
         let metrics = call.await.map(|response| response.body).unwrap_or_default();
         String::from_utf8_lossy(&metrics).into_owned()
     }
 
-    /// Waits until each machine answers a read.
+    /// Waits until each machine serves a read.
     pub async fn wait_until_served(&self) {
         for machine in 0..self.count() {
             self.get(machine, "/cells/unused/get").await;
@@ -332,42 +333,42 @@
     }
 }
 
-/// A number in the body of a response.
-pub fn number(body: &str, field: &str) -> u64 {
+/// A number field of a JSON response body; 0 if it is missing.
+pub fn number_field(body: &str, field: &str) -> u64 {
     let body = jzon::parse(body).unwrap_or(JsonValue::Null);
     body[field].as_u64().unwrap_or_default()
 }
 
-/// The body with which an application begins a lock.
-pub fn begin_body(owner: &str, hold_ms: u64) -> String {
-    format!("{{\"owner\":\"{owner}\",\"hold\":\"{hold_ms}ms\"}}")
+/// The request body that acquires a lock.
+pub fn begin_body(owner: &str, lease_ms: u64) -> String {
+    format!("{{\"owner\":\"{owner}\",\"hold\":\"{lease_ms}ms\"}}")
 }
 
-/// The body with which an application renews a lock.
-pub fn heartbeat_body(owner: &str, fence: u64, hold_ms: u64) -> String {
-    format!("{{\"owner\":\"{owner}\",\"fence\":{fence},\"hold\":\"{hold_ms}ms\"}}")
+/// The request body that renews a lock.
+pub fn heartbeat_body(owner: &str, fencing_token: u64, lease_ms: u64) -> String {
+    format!("{{\"owner\":\"{owner}\",\"fence\":{fencing_token},\"hold\":\"{lease_ms}ms\"}}")
 }
 
-/// The body with which an application gives a lock back.
-pub fn finish_body(owner: &str, fence: u64) -> String {
-    format!("{{\"owner\":\"{owner}\",\"fence\":{fence}}}")
+/// The request body that releases a lock.
+pub fn finish_body(owner: &str, fencing_token: u64) -> String {
+    format!("{{\"owner\":\"{owner}\",\"fence\":{fencing_token}}}")
 }
 
-/// The body with which an application writes a cell that has this revision.
+/// The request body that writes a cell if it has the revision `when`.
 pub fn put_body(value: &str, when: u64) -> String {
     format!("{{\"val\":\"{value}\",\"when\":{when}}}")
 }
 
-/// A folder in memory where there is one: a sync of a disk that other programs write to may take seconds, and no test
-/// here is about disks.
+/// Creates a temporary folder, in memory if possible: syncing a disk that other programs write to can take seconds, and
+/// no test here depends on a disk.
 fn new_folder() -> TempDir {
     TempDir::new_in("/dev/shm")
         .or_else(|_| TempDir::new())
         .expect("a folder")
 }
 
-/// The first of some ports in a row that are free on all machines, beginning at one that differs from process to
-/// process.
+/// Finds a range of consecutive ports that is free on all machines, and returns its first port. The search begins at a
+/// port that depends on the process id, so that concurrent tests probe different ranges.
 fn find_free_ports(addresses: &[Ipv4Addr]) -> u16 {
     let ranges = u32::from((HIGHEST_PORT - LOWEST_PORT) / PORTS_PER_MACHINE);
     let range = |probe: u32| {
--- a/crates/emberpin-demo/tests/core_machines/settings.rs
+++ b/crates/emberpin-demo/tests/core_machines/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process on a core machine.
+//! Generates the settings file of a process on a core machine.
 
 use emberpin_demo::node_settings::StartMode;
 use emberpin_demo::role::Role;
@@ -8,28 +8,28 @@
 
 const ZONES: [&str; 3] = ["north-quay", "east-quay", "south-quay"];
 
-/// Whether the rules for locks, numbers and cells are in force.
+/// Whether the settings enable the calls for locks, numbers and cells (`coord` among the `invariants`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Applications {
+pub enum CoordinationApi {
     Served,
     NotServed,
 }
 
-/// What the settings of one process depend on.
+/// The inputs of a process's settings file.
 pub struct MachineSettings<'a> {
     pub ip: Ipv4Addr,
-    pub number: usize,
+    pub machine_index: usize,
     pub role: Role,
     pub start_mode: StartMode,
     pub disk: &'a Path,
     pub seeds: &'a [SocketAddr],
     pub ctl: SocketAddr,
     pub peer_ports: RangeInclusive<u16>,
-    pub applications: Applications,
+    pub coordination_api: CoordinationApi,
 }
 
 impl MachineSettings<'_> {
-    /// The text of the file.
+    /// The text of the settings file.
     pub fn to_toml(&self) -> String {
         let seeds: Vec<String> = self
             .seeds
@@ -41,9 +41,9 @@
             Role::Registry => ("\"ctl\"", format!("ctl = \"{}\"\n", self.ctl)),
             Role::Store | Role::Proxy => ("", String::new()),
         };
-        let invariants = match self.applications {
-            Applications::Served => "\"base\",\"config\",\"coord\"",
-            Applications::NotServed => "\"base\",\"config\"",
+        let invariants = match self.coordination_api {
+            CoordinationApi::Served => "\"base\",\"config\",\"coord\"",
+            CoordinationApi::NotServed => "\"base\",\"config\"",
         };
         format!(
             "[self]\nnodename = \"core-{ip}\"\nrole = \"{role}\"\nmclass = \"core\"\nserves = [{serves}]\n\
@@ -60,7 +60,7 @@
              release = \"1500ms\"\n",
             ip = self.ip,
             role = self.role.name(),
-            zone = ZONES[self.number % ZONES.len()],
+            zone = ZONES[self.machine_index % ZONES.len()],
             bootstrap = self.start_mode == StartMode::Bootstrap,
             disk = self.disk.display(),
             first_port = self.peer_ports.start(),
--- a/crates/emberpin-demo/tests/deployed_system/deploy_file.rs
+++ b/crates/emberpin-demo/tests/deployed_system/deploy_file.rs
@@ -1,4 +1,4 @@
-//! The roles of `deploy/system.toml`.
+//! Reads the roles of `deploy/system.toml`.
 
 use emberpin_demo::role::Role;
 
@@ -6,17 +6,17 @@
 pub struct DeployedRole {
     /// The program.
     pub role: Role,
-    /// What the program is started with.
+    /// The arguments of the program.
     pub arguments: Vec<String>,
-    /// The class of machines that it runs on.
+    /// The class of the machines that the program runs on.
     pub class: String,
-    /// The share of those machines.
+    /// The fraction of those machines that run the program.
     pub share: f64,
-    /// What it listens for.
+    /// The names of the endpoints that the program listens on.
     pub serves: Vec<String>,
 }
 
-/// Reads the roles of the deploy file; a `run` line names a program whose code this executable has, too.
+/// Reads the roles of the deploy file. Each `run` line must name a program that this executable can run as, too.
 pub fn read_roles() -> Vec<DeployedRole> {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/system.toml");
     let text = std::fs::read_to_string(file).expect("the deploy file");
--- a/crates/emberpin-demo/tests/deployed_system/mod.rs
+++ b/crates/emberpin-demo/tests/deployed_system/mod.rs
@@ -1,4 +1,4 @@
-//! Machines on loopback whose processes are those that `deploy/system.toml` names.
+//! Machines on loopback that run the processes that `deploy/system.toml` names.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 mod deploy_file;
@@ -23,25 +23,25 @@
 #[allow(unused_imports, reason = "each test file uses a part of it")]
 pub use patches::{drop_route_patch, first_patch, route_patch, service, shown_route, vhost};
 
-/// A command or read without a clear answer in this time fails its test.
+/// A test fails if a command or a read gets no clear answer within this time.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
-/// `sync_time` of the settings: how long after a repair another disk may be lost.
+/// `sync_time` of the settings: the time after a repair after which another disk may be lost.
 pub const SYNC_TIME: Duration = Duration::from_secs(4);
-/// `ack` of the settings: how long a call may take while a machine is down.
+/// `ack` of the settings: the maximum time of a call while a machine is down.
 pub const ACK: Duration = Duration::from_secs(5);
-/// A machine that does not respond in this time is passed over.
+/// The next machine is called if one does not respond within this time.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 const ZONES: [&str; 3] = ["north-quay", "east-quay", "south-quay"];
-/// Each zone has one core machine, and the first has an edge.
+/// The number of core machines: one in each zone. The first zone also has an edge.
 const CORES: usize = 3;
 /// The edge's index among the machines.
 pub const EDGE: usize = CORES;
-/// Each machine has the same consecutive ports: those that processes connect to each other over, then `ctl`, `http`
-/// and `readyz`.
+/// Each machine uses the same consecutive ports: first those for connections between processes, then `ctl`, `http` and
+/// `readyz`.
 const PEER_PORTS: u16 = 4;
 const PORTS_PER_MACHINE: u16 = PEER_PORTS + 3;
-/// Below the ports that the system assigns by itself; apart from those of other tests.
+/// Below the range from which the system assigns ephemeral ports, and distinct from the ports of other tests.
 const LOWEST_PORT: u16 = 7_000;
 const HIGHEST_PORT: u16 = 12_000;
 
@@ -53,19 +53,19 @@
     zone: &'static str,
 }
 
-/// The build that a process is of.
+/// The build of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Build {
-    /// This one.
+    /// The current build.
     Current,
-    /// The one before, as its messages are: this one with that build's newest version of the protocol. Where the
-    /// environment names a program of the build before, that.
+    /// The previous build: the program that the environment names, or else the current build, limited to the newest
+    /// protocol version of the previous one.
     Previous,
 }
 
-/// Names the `emberpin-demo` of the build before, for [`Build::Previous`].
+/// The environment variable with the path of the previous build's `emberpin-demo`, for [`Build::Previous`].
 const PREVIOUS_BUILD_VARIABLE: &str = "EMBERPIN_PREVIOUS_DEMO";
-/// The newest version of the protocol that the build before speaks.
+/// The newest protocol version of the previous build.
 const PREVIOUS_PROTOCOL_VERSION: u16 = 2;
 
 impl Build {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// What a settings file has below `[network]` for the build.
+    /// The additional lines in section `[network]` of the settings file for this build.
     fn network_fields(self) -> String {
         match self {
             Build::Current => String::new(),
@@ -92,27 +92,27 @@
     port: u16,
     folder: TempDir,
     runtime: Runtime,
-    /// By the machine's index in `machines` and the role's in `roles`.
+    /// The running processes, by the index of the machine in `machines` and of the role in `roles`.
     processes: BTreeMap<(usize, usize), Child>,
-    /// The build of each process, by the same; of those that are not in it, the current one.
+    /// The build of each process, with the same keys.
     builds: BTreeMap<(usize, usize), Build>,
-    /// The line of the settings that names the parts of the rules that are in force, if there is one.
+    /// The `invariants` line of the settings, which selects the rules that are in force; empty for the default.
     invariants: &'static str,
 }
 
 impl DeployedSystem {
-    /// Starts the whole system for the first time, on addresses `127.0.net.*`; no two tests have the same.
+    /// Starts a new system on addresses `127.0.net.*`. No two tests of one program may use the same `net`.
     pub fn start(net: u8) -> DeployedSystem {
-        DeployedSystem::start_with(net, Build::Current)
+        DeployedSystem::start_with_build(net, Build::Current)
     }
 
-    /// As [`DeployedSystem::start`], and applications may call for locks, numbers and cells.
+    /// Like [`DeployedSystem::start`], with the calls for locks, numbers and cells enabled.
     pub fn start_with_coordination(net: u8) -> DeployedSystem {
         DeployedSystem::start_system(net, Build::Current, "invariants = [\"coord\"]\n")
     }
 
-    /// As [`DeployedSystem::start`], with all processes of this build.
-    pub fn start_with(net: u8, build: Build) -> DeployedSystem {
+    /// Like [`DeployedSystem::start`], with all processes of this build.
+    pub fn start_with_build(net: u8, build: Build) -> DeployedSystem {
         DeployedSystem::start_system(net, build, "")
     }
 
@@ -148,7 +148,7 @@
         system
     }
 
-    /// Starts the processes of a machine that the deploy file gives it.
+    /// Starts the processes that the deploy file assigns to a machine.
     pub fn start_machine(&mut self, machine: usize, start_mode: StartMode) {
         for (host, index) in self.all_processes() {
             if host == machine {
@@ -158,12 +158,12 @@
         }
     }
 
-    /// All processes that the deploy file gives the machines, by the machine's index and the role's.
+    /// All processes that the deploy file assigns to machines, as the indexes of the machine and the role.
     fn all_processes(&self) -> Vec<(usize, usize)> {
         let machines = 0..self.machines.len();
         let has_role = |machine: usize, index: usize| {
             let role = &self.roles[index];
-            // One machine of a class in each zone: whatever the share, it has the role.
+            // There is at most one machine of a class in each zone, so that it has the role whatever the share.
             role.class == self.machines[machine].class && role.share > 0.0
         };
         machines
@@ -172,15 +172,15 @@
             .collect()
     }
 
-    /// Ends the process of this role by SIGTERM, and starts it with this build.
+    /// Stops the process of this role with SIGTERM, and restarts it with this build.
     pub fn replace_process(&mut self, machine: usize, role: Role, build: Build) {
-        let of_role = |process: &(usize, usize)| {
+        let has_role = |process: &(usize, usize)| {
             process.0 == machine && self.roles[process.1].role.name() == role.name()
         };
         let process = self
             .all_processes()
             .into_iter()
-            .find(of_role)
+            .find(has_role)
             .expect("a process of this role");
         let mut child = self.processes.remove(&process).expect("it runs");
         kill(Pid::from_raw(child.id() as i32), Signal::SIGTERM).expect("a signal");
@@ -217,7 +217,7 @@
             .open(log)
             .expect("a log");
         let build = self.builds[&(machine, index)];
-        // An earlier build may not know them.
+        // An earlier build may not support these arguments.
         let arguments = role
             .arguments
             .iter()
@@ -255,7 +255,7 @@
         let listen: String = role
             .serves
             .iter()
-            .map(|what| match what.as_str() {
+            .map(|endpoint_name| match endpoint_name.as_str() {
                 "ctl" => address("ctl", 0),
                 _ => address("http", 1) + &address("readyz", 2),
             })
@@ -287,17 +287,17 @@
         )
     }
 
-    /// Where the operator calls a core machine.
+    /// The address at which the operator calls a core machine.
     pub fn ctl(&self, core: usize) -> SocketAddr {
         (self.machines[core].ip, self.port + PEER_PORTS).into()
     }
 
-    /// Where clients call the edge.
+    /// The address at which clients call the edge.
     pub fn http(&self) -> SocketAddr {
         (self.machines[EDGE].ip, self.port + PEER_PORTS + 1).into()
     }
 
-    /// Whether the edge says that it is ready.
+    /// Whether the edge responds that it is ready.
     pub fn is_edge_ready(&self) -> bool {
         let readyz = (self.machines[EDGE].ip, self.port + PEER_PORTS + 2).into();
         let call = http::call(readyz, Method::GET, "/readyz", String::new(), CALL_TIMEOUT);
@@ -305,7 +305,7 @@
         response.is_some_and(|response| response.status == 200)
     }
 
-    /// The metrics of a machine's process of this role, from where its arguments say.
+    /// Reads the metrics of a machine's process of this role, at the endpoint that its arguments name.
     pub fn metrics(&self, machine: usize, role: Role) -> String {
         let deployed = self
             .roles
@@ -335,7 +335,7 @@
         self.processes.retain(|(index, _), _| *index != machine);
     }
 
-    /// Kills the processes of a machine and takes away its disk.
+    /// Kills the processes of a machine and removes its disk.
     pub fn wipe_machine(&mut self, machine: usize) {
         self.kill_machine(machine);
         std::fs::remove_dir_all(self.disk(machine)).expect("a disk");
@@ -352,7 +352,7 @@
 
     // ---- the operator
 
-    /// Calls a core machine once: status and body, if it responds within a second.
+    /// Calls a core machine once; returns status and body, or `None` if it does not respond within `CALL_TIMEOUT`.
     pub fn call_once(
         &self,
         core: usize,
@@ -368,7 +368,8 @@
         ))
     }
 
-    /// Calls one machine after the other, beginning with this one, until one has a clear answer.
+    /// Calls one core machine after the other, beginning with `first`, until one gives a clear answer: a status below
+    /// 500 other than 408 and 429. Returns its status and body.
     pub fn call_until_clear(
         &self,
         first: usize,
@@ -376,7 +377,7 @@
         path: &str,
         body: &str,
     ) -> (u16, String) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         for core in (0..CORES).cycle().skip(first) {
             match self.call_once(core, method.clone(), path, body) {
                 Some((status, body)) if status < 500 && ![408, 429].contains(&status) => {
@@ -385,7 +386,7 @@
                 _ => std::thread::sleep(RETRY_BACKOFF),
             }
             assert!(
-                began.elapsed() < ANSWER_TIMEOUT,
+                started_at.elapsed() < ANSWER_TIMEOUT,
                 "no clear answer within {ANSWER_TIMEOUT:?} to {path} {body}"
             );
         }
@@ -414,8 +415,8 @@
     }
 }
 
-/// The first of some ports in a row that are free on all machines, beginning at one that differs from
-/// process to process.
+/// Finds a range of consecutive ports that is free on all machines, and returns its first port. The search begins at a
+/// port that depends on the process id, so that concurrent tests probe different ranges.
 fn find_free_ports(machines: &[Machine]) -> u16 {
     let ranges = u32::from((HIGHEST_PORT - LOWEST_PORT) / PORTS_PER_MACHINE);
     let range = |probe: u32| {
--- a/crates/emberpin-demo/tests/deployed_system/patches.rs
+++ b/crates/emberpin-demo/tests/deployed_system/patches.rs
@@ -1,6 +1,6 @@
-//! Bodies of configuration changes, and what a configuration that is read back shows.
+//! Builds the bodies of configuration changes, and reads routes from a configuration that was read back.
 
-/// Adds or changes a route, whose time-out tells contents of one version apart.
+/// A patch that adds or changes a route. Its time-out distinguishes different contents under the same version.
 pub fn route_patch(route: &str, ver: u64, timeout_ms: u64) -> String {
     format!(
         "{{\"upsert\":{{\"svcs\":[],\"vhosts\":[{}]}}}}",
@@ -8,7 +8,7 @@
     )
 }
 
-/// A route in its host.
+/// A host with one route.
 pub fn vhost(route: &str, ver: u64, timeout_ms: u64) -> String {
     format!(
         "{{\"hostname\":\"{route}.example\",\"locs\":[{{\"name\":\"{route}\",\"pfx\":\"/p/\",\"type\":\"readonly\",\
@@ -17,7 +17,7 @@
     )
 }
 
-/// The service of all routes.
+/// A service.
 pub fn service(name: &str, ver: u64) -> String {
     format!(
         "{{\"name\":\"{name}\",\"hcheck\":\"/healthz\",\"maxconn\":120,\"proto\":\"h1\",\"tls\":false,\
@@ -25,17 +25,17 @@
     )
 }
 
-/// The first configuration: the service alone.
+/// The patch of the first configuration, which has only the service of all routes.
 pub fn first_patch() -> String {
     format!("{{\"upsert\":{{\"svcs\":[{}]}}}}", service("chartroom", 1))
 }
 
-/// Removes a route.
+/// A patch that removes a route.
 pub fn drop_route_patch(route: &str, ver: u64) -> String {
     format!("{{\"remove\":{{\"rtab\":[{{\"name\":\"{route}\",\"ver\":{ver}}}]}}}}")
 }
 
-/// The version and time-out of a route in what was read back.
+/// The version and time-out of a route in a configuration that was read back; `None` if there is no such route.
 pub fn shown_route(body: &str, route: &str) -> Option<(u64, String)> {
     let all = jzon::parse(body).expect("JSON");
     let routes = all["vhosts"]
--- a/crates/emberpin-demo/tests/deployed_system/traffic.rs
+++ b/crates/emberpin-demo/tests/deployed_system/traffic.rs
@@ -1,4 +1,4 @@
-//! Requests of a client to the edge, all the time, and a server that they reach.
+//! Continuous requests of a client to the edge, and the server that handles them.
 
 use emberpin_demo::edge::{ConnectionChoice, Edge};
 use emberpin_demo::record::Recorder;
@@ -16,27 +16,27 @@
 use tokio::runtime::Runtime;
 use tokio::time::{interval, timeout};
 
-/// The service of the configuration's routes, in the zone of the edge.
+/// The server's group: the service of all routes, in the zone of the edge.
 const GROUP: ServerGroup = ServerGroup {
     service: "chartroom",
     zone: "north-quay",
 };
 /// The time between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
-/// A request without a response by then has failed; longer than a route's timeout.
+/// A request fails without a response within this time. Longer than the time-out of every route.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How often a route is tried until it is in force.
+/// How often a route is requested until it is in force.
 const ROUTE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How many requests ended with each status; [`NO_RESPONSE`] stands for none.
+/// The number of requests that ended with each status. Requests without a response count under [`NO_RESPONSE`].
 type Statuses = BTreeMap<u16, u64>;
 
-/// Stands for a request without a response.
+/// The status that stands for a missing response.
 pub const NO_RESPONSE: u16 = 0;
 
-/// A client that sends one request after the other until it is stopped, and the server.
+/// A client that sends one request after the other until this is dropped, and the server.
 pub struct Traffic {
-    /// For requests of the test itself.
+    /// The runtime for requests that the test itself sends.
     runtime: Runtime,
     edge: Edge,
     statuses: Arc<Mutex<Statuses>>,
@@ -45,7 +45,7 @@
 }
 
 impl Traffic {
-    /// Starts the server, and requests to the route of this name, which has to come into force.
+    /// Starts the server and the requests to this route, and waits until the route is in force.
     pub fn start(http: SocketAddr, registries: &[SocketAddr], route: &str) -> Traffic {
         let statuses = Arc::<Mutex<Statuses>>::default();
         let is_stopped = Arc::<AtomicBool>::default();
@@ -68,20 +68,20 @@
         traffic
     }
 
-    /// Waits until a request to this route is served. Returns how long it took.
+    /// Waits until a request to this route is served; returns how long that took.
     pub fn wait_for_route(&self, route: &str) -> Duration {
-        let began = Instant::now();
+        let started_at = Instant::now();
         while self.runtime.block_on(request(&self.edge, route)) != 200 {
             assert!(
-                began.elapsed() < super::ANSWER_TIMEOUT,
+                started_at.elapsed() < super::ANSWER_TIMEOUT,
                 "route {route} does not come into force"
             );
             sleep(ROUTE_POLL_INTERVAL);
         }
-        began.elapsed()
+        started_at.elapsed()
     }
 
-    /// The statuses of the requests that ended since the last call.
+    /// Returns the statuses of the requests that ended since the last call.
     pub fn take_statuses(&self) -> Statuses {
         std::mem::take(&mut *self.statuses.lock().expect("counts"))
     }
@@ -96,7 +96,7 @@
     }
 }
 
-/// What runs on the thread of the client and the server.
+/// The client and the server, which run on a thread of their own.
 struct Client {
     edge: Edge,
     registries: Vec<SocketAddr>,
@@ -132,7 +132,7 @@
 /// The number of the next request.
 static NEXT_REQUEST: AtomicU64 = AtomicU64::new(0);
 
-/// Sends one request to a route; its status.
+/// Sends one request to a route; returns its status or [`NO_RESPONSE`].
 async fn request(edge: &Edge, route: &str) -> u16 {
     let request = Request::builder()
         .uri("/p/x")
--- a/crates/emberpin-demo/tests/invariants.rs
+++ b/crates/emberpin-demo/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Wrong records, one invariant each: the checker must find what is wrong in them, and nothing else.
+//! Tests of the invariant checker: in a record with one violation it must find this violation and nothing else.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_demo::configuration::items;
@@ -51,9 +51,9 @@
     }
 }
 
-/// A record in which every rule holds: a readonly attempt that ran twice, a rejection that did not run, one that may
-/// have run as its status guarantees nothing, an evacuation that was obeyed, and leaders of which one was elected again
-/// before its term was over.
+/// A record without violations: a readonly attempt that ran twice, a rejected attempt that did not run, a failed
+/// attempt that ran, as its status guarantees nothing, an evacuation that was observed, and leaders of which one was
+/// elected again before its term was over.
 fn valid_record() -> Record {
     Record {
         arrivals: vec![
@@ -107,7 +107,7 @@
 }
 
 #[gtest]
-fn two_leaders_at_a_time_are_a_violation_in_whatever_order_they_were_noted() {
+fn two_leaders_at_a_time_are_a_violation_in_any_order_of_the_record() {
     let found = violations_after(|record| {
         record.leader_terms[3].from = ms(1_400);
         record.leader_terms.reverse();
@@ -116,7 +116,7 @@
 }
 
 #[gtest]
-fn a_leader_whose_fence_is_not_above_that_of_the_one_before_is_a_violation() {
+fn a_leader_whose_fencing_token_is_not_above_the_previous_one_is_a_violation() {
     for fencing_token in [1, 2] {
         let found = violations_after(|record| record.leader_terms[3].fencing_token = fencing_token);
         let expected = format!("one was elected with fence {fencing_token} after 2");
@@ -125,7 +125,7 @@
 }
 
 #[gtest]
-fn the_summary_of_the_election_says_for_how_long_nobody_led() {
+fn the_summary_of_the_election_reports_the_time_without_a_leader() {
     let terms = valid_record().leader_terms;
     expect_that!(
         election::summary(&terms),
@@ -189,7 +189,7 @@
 }
 
 #[gtest]
-fn an_evacuation_that_is_not_finished_holds_to_the_end() {
+fn an_evacuation_that_is_not_finished_is_checked_to_the_end() {
     let found = violations_after(|record| record.evacuations[0].finish_requested_at = None);
     expect_that!(
         found,
@@ -237,7 +237,7 @@
 }
 
 #[gtest]
-fn a_response_that_is_not_the_servers_is_a_violation() {
+fn a_success_that_is_not_the_servers_response_is_a_violation() {
     let found = violations_after(|record| record.attempts[3].has_foreign_response = true);
     expect_that!(
         found,
@@ -271,7 +271,7 @@
     );
 }
 
-fn report(served: usize, of: usize, record: Record) -> Report {
+fn report(served: usize, total: usize, record: Record) -> Report {
     let request = |number| ClientRequest {
         route: "commit",
         outcome: if number < served {
@@ -284,7 +284,7 @@
         has_single_attempt: true,
     };
     let record = Record {
-        requests: (0..of).map(request).collect(),
+        requests: (0..total).map(request).collect(),
         ..record
     };
     Report::from_record("played".into(), Vec::new(), &record)
--- a/crates/emberpin-demo/tests/port_allocation.rs
+++ b/crates/emberpin-demo/tests/port_allocation.rs
@@ -1,5 +1,5 @@
-//! Ports that are taken. In a test program of its own: a process that another test starts has a copy of each open
-//! socket for a moment.
+//! Allocation of ports when some are in use. This test has its own program, because a process that another test starts
+//! briefly has a copy of each open socket, which would keep the port in use.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_demo::deployment::Deployment;
@@ -8,7 +8,7 @@
 
 #[gtest]
 fn ports_taken_on_one_machine_are_skipped_on_all() {
-    // One of those that the system assigns: no other run looks for its ports among them.
+    // An ephemeral port, because no other run searches for its ports in that range.
     let taken = TcpListener::bind("127.0.0.22:0").expect("a port");
     let port = taken.local_addr().expect("an address").port();
     let error =
@@ -19,7 +19,7 @@
         error.to_string(),
         contains_substring("ports in a row are free on every machine's address")
     );
-    // An edge that is not asked for may have it.
+    // The port may be in use on the address of an edge that is not part of the deployment.
     expect_that!(
         Deployment::on_first_free_ports(1, [port].into_iter()).map(drop),
         ok(anything())
--- a/crates/emberpin-demo/tests/process_cleanup.rs
+++ b/crates/emberpin-demo/tests/process_cleanup.rs
@@ -1,4 +1,4 @@
-//! A run that is ended from outside leaves no process and no file.
+//! A run that is ended by a signal must leave no process behind, and no file unless it is killed.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use googletest::prelude::*;
@@ -10,23 +10,24 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Everything that a test waits for happens within this time.
+/// The time-out for every condition that a test waits for.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Three core machines with two processes each, and three edges.
+/// The number of child processes: three core machines with two processes each, and three edges.
 const PROCESSES: usize = 9;
 
-fn wait_until<T>(what: &str, mut condition: impl FnMut() -> Option<T>) -> T {
-    let since = Instant::now();
+fn wait_until<T>(description: &str, mut condition: impl FnMut() -> Option<T>) -> T {
+    let started_at = Instant::now();
     loop {
         if let Some(found) = condition() {
             return found;
         }
-        assert!(since.elapsed() < TIMEOUT, "not in time: {what}");
+        assert!(started_at.elapsed() < TIMEOUT, "not in time: {description}");
         sleep(Duration::from_millis(10));
     }
 }
 
-/// Starts a run with its files in this folder, and waits until all of its processes are there.
+/// Starts a run with its files in this folder and waits until all of its child processes have started. Returns the run
+/// and the process ids of the children.
 fn start_run(folder: &TempDir) -> (Child, Vec<u32>) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_emberpin-demo"));
     let run = command
--- a/crates/emberpin-demo/tests/rolling_upgrade.rs
+++ b/crates/emberpin-demo/tests/rolling_upgrade.rs
@@ -1,8 +1,8 @@
-//! Processes of two adjacent builds side by side, under traffic and changes: a rolling upgrade in drawn orders, the way
-//! back, and an upgrade that is stopped halfway while a member is lost.
+//! Rolling upgrades: processes of two adjacent builds run together, under traffic and configuration changes. Tests an
+//! upgrade and a downgrade in different orders, and an upgrade that is stopped halfway while members are lost.
 //!
-//! The build before is this one with that build's version of the protocol. `EMBERPIN_PREVIOUS_DEMO=PATH` names the
-//! `emberpin-demo` of a real one, which is run instead.
+//! By default, the previous build is the current one, limited to the previous protocol version.
+//! `EMBERPIN_PREVIOUS_DEMO=PATH` names the `emberpin-demo` of a real previous build, which is run instead.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod deployed_system;
@@ -20,9 +20,9 @@
 
 /// The route that requests are sent to.
 const ROUTE: &str = "x";
-/// `apply` of the settings: how long after its acknowledgement a change may take to come into force.
+/// `apply` of the settings: the maximum time from the acknowledgement of a change until it is in force.
 const APPLY: Duration = Duration::from_millis(2_500);
-/// How long a process that was replaced has to be back in contact before the next one is.
+/// How long a replaced process has to get back in contact before the next process is replaced.
 const SETTLING_TIME: Duration = Duration::from_millis(1_500);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const CORE_PROCESSES: [(usize, Role); 6] = [
@@ -34,7 +34,7 @@
     (2, Role::Registry),
 ];
 
-/// A system under traffic, and the number of the last change.
+/// A system under traffic. `changes` is the number of changes so far, which makes the route of each change unique.
 struct Upgrade {
     system: DeployedSystem,
     traffic: Traffic,
@@ -43,7 +43,7 @@
 
 impl Upgrade {
     fn start(net: u8, build: Build) -> Upgrade {
-        let system = DeployedSystem::start_with(net, build);
+        let system = DeployedSystem::start_with_build(net, build);
         assert_eq!(system.patch(0, &first_patch()), 200);
         assert_eq!(system.patch(0, &route_patch(ROUTE, 1, 1_500)), 200);
         let registries = [0, 1, 2].map(|core| system.ctl(core));
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Sends a change to one core machine after the other; each is acknowledged and in force in time.
+    /// Sends a change to one core machine after the other; expects each to be acknowledged and in force in time.
     fn change_at_each_machine(&mut self, step: &str) {
         for core in 0..3 {
             self.changes += 1;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// All requests since the last call were served.
+    /// Expects that all requests since the last call were served, and that there were some.
     fn expect_all_served(&self, step: &str) {
         let statuses = self.traffic.take_statuses();
         let served = statuses.get(&200).copied().unwrap_or_default();
@@ -85,14 +85,14 @@
         sleep(SETTLING_TIME);
     }
 
-    /// Replaces the edge, whose clients wait for it.
+    /// Replaces the edge, and waits until it serves again; failed requests meanwhile are ignored.
     fn replace_edge(&mut self, build: Build) {
         let step = format!("edge as {build:?}");
         self.expect_all_served(&step);
         self.system.replace_process(EDGE, Role::Proxy, build);
-        let began = Instant::now();
+        let started_at = Instant::now();
         while !self.system.is_edge_ready() {
-            assert!(began.elapsed() < ACK, "{step}: not ready");
+            assert!(started_at.elapsed() < ACK, "{step}: not ready");
             sleep(POLL_INTERVAL);
         }
         self.traffic.wait_for_route(ROUTE);
@@ -100,7 +100,7 @@
         self.change_at_each_machine(&step);
     }
 
-    /// An evacuation is acknowledged, and taken back.
+    /// Begins and ends an evacuation; expects both to be acknowledged.
     fn evacuate_and_return(&self) {
         let registries = [0, 1, 2].map(|core| self.system.ctl(core)).to_vec();
         let recorder = Recorder::default();
@@ -116,8 +116,8 @@
         expect_that!(recorder.lock().unacknowledged_commands, is_empty());
     }
 
-    /// No process rejected another one or read a frame that it could not.
-    fn expect_all_understood(&self) {
+    /// Expects that no process rejected a peer or received an unreadable frame.
+    fn expect_no_protocol_errors(&self) {
         for machine in 0..=EDGE {
             let logs = self.system.logs(machine);
             expect_that!(logs, not(contains_substring("rejected a peer")));
@@ -127,35 +127,35 @@
 }
 
 #[gtest]
-fn an_upgrade_in_one_order_and_back_in_another_interrupts_nothing() {
+fn an_upgrade_and_a_downgrade_in_another_order_interrupt_nothing() {
     let mut upgrade = Upgrade::start(61, Build::Previous);
-    // Machine by machine, the edge in the middle.
-    for (nth, process) in CORE_PROCESSES.into_iter().enumerate() {
-        if nth == 3 {
+    // The upgrade: machine by machine, with the edge in the middle.
+    for (position, process) in CORE_PROCESSES.into_iter().enumerate() {
+        if position == 3 {
             upgrade.replace_edge(Build::Current);
         }
         upgrade.replace_core_process(process, Build::Current);
     }
     upgrade.evacuate_and_return();
-    // Back: the edge first, then all registries, then all stores.
+    // The downgrade: first the edge, then all registries, then all stores.
     upgrade.replace_edge(Build::Previous);
     for role in [Role::Registry, Role::Store] {
         for core in [2, 0, 1] {
             upgrade.replace_core_process((core, role), Build::Previous);
         }
     }
-    upgrade.expect_all_understood();
+    upgrade.expect_no_protocol_errors();
 }
 
 #[gtest]
-fn an_upgrade_that_is_stopped_halfway_bears_the_loss_of_a_member() {
+fn an_upgrade_that_is_stopped_halfway_tolerates_the_loss_of_a_member() {
     let mut upgrade = Upgrade::start(62, Build::Previous);
     for process in [(1, Role::Registry), (0, Role::Store)] {
         upgrade.replace_core_process(process, Build::Current);
     }
     upgrade.replace_edge(Build::Current);
     sleep(SYNC_TIME);
-    // A machine of the build before loses its disk, and comes back as it was.
+    // A machine of the previous build loses its disk, and is restarted with the same build.
     upgrade.system.wipe_machine(2);
     for _ in 0..2 {
         upgrade.change_at_each_machine("machine 2 is lost");
@@ -163,12 +163,12 @@
     upgrade.system.start_machine(2, StartMode::Restart);
     sleep(SYNC_TIME);
     upgrade.change_at_each_machine("machine 2 is back");
-    // Then one of the other build does.
+    // Then a machine with a store of the current build loses its disk.
     upgrade.system.wipe_machine(0);
     upgrade.change_at_each_machine("machine 0 is lost");
     upgrade.system.start_machine(0, StartMode::Restart);
     sleep(SYNC_TIME);
     upgrade.change_at_each_machine("machine 0 is back");
     upgrade.expect_all_served("a member of each build was lost");
-    upgrade.expect_all_understood();
+    upgrade.expect_no_protocol_errors();
 }
--- a/crates/emberpin-demo/tests/system.rs
+++ b/crates/emberpin-demo/tests/system.rs
@@ -1,4 +1,5 @@
-//! Faults of core machines, over processes that the deploy file names: what an operator sees at `ctl`.
+//! Faults of core machines in a system of the processes that the deploy file names, as an operator observes them at
+//! `ctl`.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod deployed_system;
@@ -16,10 +17,10 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Stands for a call without a response.
+/// The status that stands for a call without a response.
 const NO_RESPONSE: u16 = 503;
 
-/// Sends a patch to each core machine in turn; none may reject it.
+/// Sends a patch to each core machine in turn and expects that none rejects it.
 fn expect_never_rejected(system: &DeployedSystem, patch: &str) {
     for core in 0..3 {
         let status = system
@@ -49,7 +50,7 @@
 }
 
 #[gtest]
-fn other_content_under_an_acknowledged_version_is_rejected_in_any_call() {
+fn other_content_under_an_acknowledged_version_is_rejected_by_every_machine() {
     let system = DeployedSystem::start(42);
     expect_that!(system.patch(0, &first_patch()), eq(200));
     expect_that!(system.patch(0, &route_patch("x", 5, 1_500)), eq(200));
@@ -69,14 +70,14 @@
 }
 
 #[gtest]
-fn of_eight_operators_who_race_for_one_version_at_most_one_is_acknowledged() {
+fn at_most_one_of_eight_concurrent_patches_of_one_version_is_acknowledged() {
     let system = DeployedSystem::start(43);
     expect_that!(system.patch(0, &first_patch()), eq(200));
     for round in 1..=10 {
         let start = Barrier::new(8);
         let race = |operator: u64| {
             let patch = route_patch("x", round, 1_000 + operator);
-            // Each has a connection of its own, and no runtime in common.
+            // Each operator has its own connection and its own runtime.
             let call = emberpin_demo::http::call(
                 system.ctl(operator as usize % 3),
                 Method::POST,
@@ -92,16 +93,16 @@
             runtime.block_on(call).map(|answer| answer.status)
         };
         let statuses: Vec<Option<u16>> = std::thread::scope(|scope| {
-            let racers: Vec<_> = (0..8)
+            let operators: Vec<_> = (0..8)
                 .map(|operator| scope.spawn(move || race(operator)))
                 .collect();
-            racers
+            operators
                 .into_iter()
-                .map(|racer| racer.join().expect("a racer"))
+                .map(|operator| operator.join().expect("a racer"))
                 .collect()
         });
         let winners: Vec<u64> = (0..8)
-            .filter(|racer| statuses[*racer as usize] == Some(200))
+            .filter(|operator| statuses[*operator as usize] == Some(200))
             .collect();
         expect_that!(winners.len(), le(1), "round {round}: {statuses:?}");
         let (ver, timeout) =
@@ -114,7 +115,7 @@
 }
 
 #[gtest]
-fn a_second_disk_may_be_lost_sync_time_after_the_first_is_back() {
+fn a_second_disk_may_be_lost_sync_time_after_the_first_machine_is_back() {
     let mut system = DeployedSystem::start(44);
     expect_that!(system.patch(0, &first_patch()), eq(200));
     for (ver, core) in [(1, 0), (2, 1), (3, 2), (4, 0)] {
@@ -122,10 +123,10 @@
             system.patch(core, &route_patch("x", ver, 1_000 + ver)),
             eq(200)
         );
-        // Right after the acknowledgement.
+        // The disk is lost right after the acknowledgement.
         system.wipe_machine(core);
         system.start_machine(core, StartMode::Restart);
-        // `sync_time` is guaranteed to be enough.
+        // After `sync_time`, the machine is guaranteed to have a complete copy again.
         sleep(SYNC_TIME);
         expect_that!(
             shown_route(&system.read_back(core), "x"),
@@ -135,14 +136,15 @@
 }
 
 #[gtest]
-fn a_wiped_disk_that_starts_with_bootstrap_founds_no_second_deployment() {
+fn a_machine_that_bootstraps_with_a_wiped_disk_creates_no_second_deployment() {
     let mut system = DeployedSystem::start(45);
     expect_that!(system.patch(0, &first_patch()), eq(200));
     expect_that!(system.patch(0, &route_patch("x", 5, 1_500)), eq(200));
     system.wipe_machine(0);
     system.start_machine(0, StartMode::Bootstrap);
     let until = Instant::now() + SYNC_TIME;
-    // Whatever it says meanwhile, it shows all that was acknowledged, and lets no other content pass.
+    // Meanwhile, any configuration that it returns must have all acknowledged content, and it must not accept other
+    // content.
     while Instant::now() < until {
         if let Some((200, body)) = system.call_once(0, Method::GET, "/config/get", "") {
             expect_that!(shown_route(&body, "x"), some(eq(&(5, "1500ms".to_owned()))));
@@ -155,7 +157,7 @@
         );
         expect_that!(other.map(|(status, _)| status), not(some(eq(200))));
     }
-    // A second machine goes: what was acknowledged is on the disk of the one that came back.
+    // A second machine is lost: the acknowledged content must be on the disk of the machine that came back.
     system.wipe_machine(1);
     expect_that!(
         shown_route(&system.read_back(0), "x"),
@@ -169,29 +171,29 @@
 }
 
 #[gtest]
-fn a_frozen_machine_sends_nothing_old_and_the_others_respond_meanwhile() {
+fn a_frozen_machine_returns_nothing_stale_and_the_others_respond_meanwhile() {
     let system = DeployedSystem::start(46);
     expect_that!(system.patch(0, &first_patch()), eq(200));
     expect_that!(system.patch(0, &route_patch("x", 1, 1_001)), eq(200));
-    for (round, span) in [(1, 1), (2, 6)] {
+    for (round, frozen_seconds) in [(1, 1), (2, 6)] {
         system.send_signal(0, Signal::SIGSTOP);
-        let until = Instant::now() + Duration::from_secs(span);
+        let until = Instant::now() + Duration::from_secs(frozen_seconds);
         let mut ver = round * 1_000;
         while Instant::now() < until {
             ver += 1;
-            let sent = Instant::now();
+            let sent_at = Instant::now();
             expect_that!(
                 system.patch(1 + ver as usize % 2, &route_patch("x", ver, ver)),
                 eq(200)
             );
-            expect_that!(sent.elapsed(), lt(ACK));
+            expect_that!(sent_at.elapsed(), lt(ACK));
         }
         system.send_signal(0, Signal::SIGCONT);
-        let thawed = Instant::now();
+        let resumed_at = Instant::now();
         let mut reads = 0;
-        // Until it answers again, and for a while after that.
-        while thawed.elapsed() < Duration::from_secs(2)
-            || (reads == 0 && thawed.elapsed() < ANSWER_TIMEOUT)
+        // Until it responds again, and for at least two seconds.
+        while resumed_at.elapsed() < Duration::from_secs(2)
+            || (reads == 0 && resumed_at.elapsed() < ANSWER_TIMEOUT)
         {
             if let Some((200, body)) = system.call_once(0, Method::GET, "/config/get", "") {
                 reads += 1;
@@ -205,15 +207,15 @@
     }
 }
 
-/// The sum of a metric over the core machines; its labels may be any that contain these.
+/// The sum of a metric over the core machines, over all series whose line contains `labels`.
 fn sum_over_core(system: &DeployedSystem, role: Role, metric: &str, labels: &str) -> f64 {
     let mut sum = 0.0;
     for core in 0..3 {
         let text = system.metrics(core, role);
-        let of_metric = |line: &&str| line.starts_with(metric) && line.contains(labels);
+        let is_series_of_metric = |line: &&str| line.starts_with(metric) && line.contains(labels);
         let values = text
             .lines()
-            .filter(of_metric)
+            .filter(is_series_of_metric)
             .filter_map(|line| line.rsplit_once(' '));
         sum += values
             .map(|(_, value)| value.parse::<f64>().expect("a number"))
@@ -241,21 +243,21 @@
             "{metric}"
         );
     }
-    let synced = sum_over_core(
+    let sync_count = sum_over_core(
         &system,
         Role::Store,
         "emberpin_store_sync_seconds_count",
         "",
     );
-    expect_that!(synced, ge(4.0));
-    // Gauges follow within a second.
-    let since = Instant::now();
+    expect_that!(sync_count, ge(4.0));
+    // Gauges are updated within a second.
+    let started_at = Instant::now();
     let all_confirmed = || {
         let confirmed = sum_over_core(&system, Role::Registry, "emberpin_registry_confirmed", "");
         let voters = sum_over_core(&system, Role::Store, "emberpin_store_voters", "");
         (confirmed, voters) == (3.0, 9.0)
     };
-    while !all_confirmed() && since.elapsed() < ANSWER_TIMEOUT {
+    while !all_confirmed() && started_at.elapsed() < ANSWER_TIMEOUT {
         sleep(Duration::from_millis(100));
     }
     expect_that!(all_confirmed(), eq(true));
@@ -266,66 +268,67 @@
     );
 }
 
-/// `recover`: how soon after a loss of any number of machines the system serves again.
+/// `recover` of the settings: the maximum time until the system serves again after the loss of any number of machines.
 const RECOVER: Duration = Duration::from_secs(15);
-/// Two checks of the contact with a majority: it may be lost right after the first has begun.
+/// The time of two checks of the contact with a majority: the contact may be lost right after the first check has
+/// begun.
 const TWO_CONTACT_CHECKS: Duration = Duration::from_millis(650);
 
-/// The status of one call, which is answered within `limit`.
+/// Calls machine 0 and returns the status; expects a response within `time_limit`.
 fn status_within(
     system: &DeployedSystem,
-    limit: Duration,
+    time_limit: Duration,
     (method, path, body): (Method, &str, &str),
 ) -> u16 {
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     let response = system.call_once(0, method, path, body);
-    expect_that!(sent.elapsed(), lt(limit), "{path}");
+    expect_that!(sent_at.elapsed(), lt(time_limit), "{path}");
     response.expect("a response").0
 }
 
-/// The statuses by which a machine sends a call elsewhere: to any other one, or to the one that it takes to hear a
-/// majority.
-fn is_not_taken() -> impl Matcher<u16> {
+/// Matches the statuses with which a machine sends a caller elsewhere: 503 to any other machine, 307 to one that it
+/// believes to be in contact with a majority.
+fn is_redirect_or_unavailable() -> impl Matcher<u16> {
     any![eq(503), eq(307)]
 }
 
-/// The others neither answer nor close their connections, as behind a network partition.
+/// The other machines neither respond nor close their connections, as in a network partition.
 #[gtest]
-fn a_machine_that_just_lost_its_majority_rejects_calls_soon_and_recovers() {
+fn a_machine_that_lost_its_majority_rejects_calls_promptly_and_recovers() {
     let system = DeployedSystem::start(48);
     expect_that!(system.patch(0, &first_patch()), eq(200));
     expect_that!(system.patch(0, &route_patch("x", 1, 1_001)), eq(200));
-    let freeze = |signal| [1, 2].map(|machine| system.send_signal(machine, signal));
+    let signal_others = |signal| [1, 2].map(|machine| system.send_signal(machine, signal));
     for round in 1..=2 {
         let ver = round * 1_000;
-        freeze(Signal::SIGSTOP);
+        signal_others(Signal::SIGSTOP);
         let long_name = "y".repeat(3_000);
         let long_patch = route_patch(&long_name, ver, 1_500);
         for patch in [route_patch("x", ver, 1_900), long_patch] {
             let call = (Method::POST, "/config/patch", patch.as_str());
             expect_that!(
                 status_within(&system, TWO_CONTACT_CHECKS, call),
-                is_not_taken()
+                is_redirect_or_unavailable()
             );
         }
         let read = (Method::GET, "/config/get", "");
         expect_that!(
             status_within(&system, TWO_CONTACT_CHECKS, read),
-            is_not_taken()
+            is_redirect_or_unavailable()
         );
         sleep(Duration::from_secs(3));
-        freeze(Signal::SIGCONT);
-        let thawed = Instant::now();
-        // Meanwhile a machine may redirect to one that does not hear a majority yet, either.
+        signal_others(Signal::SIGCONT);
+        let resumed_at = Instant::now();
+        // Meanwhile a machine may redirect to another one that is not in contact with a majority yet, either.
         let patch = route_patch("x", ver + 1, 1_100 + round);
         let mut machines = (0..3).cycle();
-        while thawed.elapsed() < RECOVER {
+        while resumed_at.elapsed() < RECOVER {
             if system.patch(machines.next().unwrap_or_default(), &patch) == 200 {
                 break;
             }
             sleep(Duration::from_millis(50));
         }
-        expect_that!(thawed.elapsed(), lt(RECOVER));
+        expect_that!(resumed_at.elapsed(), lt(RECOVER));
         expect_that!(
             shown_route(&system.read_back(0), "x"),
             some(eq(&(ver + 1, format!("{}ms", 1_100 + round))))
