--- a/crates/emberpin-ctl/src/client.rs
+++ b/crates/emberpin-ctl/src/client.rs
@@ -130,7 +130,7 @@
     #[error("silent for {0:?}")]
     TimedOut(Duration),
     /// The `Location` header of a redirect is not a URI.
-    #[error("points to {0}, which is no place")]
+    #[error("redirects to {0}, which is not a valid URI")]
     InvalidRedirect(String),
     /// The connection failed.
     #[error(transparent)]
--- a/crates/emberpin-demo/src/election.rs
+++ b/crates/emberpin-demo/src/election.rs
@@ -140,7 +140,8 @@
     }
 
     /// Calls one registry; `None` for any response but a 200. The next call goes to the next registry, unless this one
-    /// granted (200) or denied (409) the call.
+    /// granted (200) or denied (409) the call. `step` is the last segment of the path: `begin` acquires the lock,
+    /// `heartbeat` renews it.
     async fn call(&mut self, step: &str, body: String) -> Option<GrantedCall> {
         let registry = self.registries[self.next_registry % self.registries.len()];
         let path = format!("/locks/{LOCK}/{step}");
--- a/crates/emberpin-demo/src/operator.rs
+++ b/crates/emberpin-demo/src/operator.rs
@@ -29,7 +29,7 @@
 /// Why a command failed: the result of the last attempt.
 #[derive(Clone, Debug, thiserror::Error)]
 enum CommandError {
-    #[error("nobody was asked")]
+    #[error("no registry was called")]
     NotSent,
     #[error("{0} did not answer")]
     NoResponse(SocketAddr),
--- a/crates/emberpin-demo/tests/coordination_faults.rs
+++ b/crates/emberpin-demo/tests/coordination_faults.rs
@@ -17,6 +17,7 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, Instant};
 
+/// The number of concurrent callers.
 const CALLERS: u32 = 24;
 /// Calls must be served again within this time after the leading store is lost.
 const TAKEOVER_TIME: Duration = Duration::from_secs(2);
@@ -41,7 +42,7 @@
     let violations = history.violations();
     if let Some(first) = violations.first() {
         println!(
-            "seen at {}:\n{}",
+            "calls at {}:\n{}",
             first.subject,
             history.describe(&first.subject)
         );
@@ -120,14 +121,14 @@
     let fencing_token = number_field(&body, "fence");
     let begin = begin_body("next", 2_000);
     let next_token = loop {
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let (status, body) = machines.post(1, "/locks/l1/begin", &begin).await;
         if status == 200 {
             break number_field(&body, "fence");
         }
         verify_that!(status, eq(409))?;
         verify_that!(
-            sent.duration_since(granted_at),
+            sent_at.duration_since(granted_at),
             lt(LEASE_DURATION + RELEASE_TIME)
         )?;
         sleep(POLL_INTERVAL).await;
@@ -267,10 +268,10 @@
     let watched = machines.get(0, "/watch/g1.?after=1&wait_ms=2000").await;
     let events = "{\"events\":[{\"name\":\"g1.b\",\"val\":\"z\",\"rev\":2}],\"rev\":2}";
     verify_that!(watched, eq(&(200, events.into())))?;
-    let waits_since = Instant::now();
+    let watch_started_at = Instant::now();
     let watched = machines.get(0, "/watch/g1.?after=2&wait_ms=300").await;
     verify_that!(watched, eq(&(200, "{\"events\":[],\"rev\":2}".into())))?;
-    verify_that!(waits_since.elapsed(), ge(Duration::from_millis(300)))
+    verify_that!(watch_started_at.elapsed(), ge(Duration::from_millis(300)))
 }
 
 #[tokio::test]
@@ -292,6 +293,7 @@
     run_concurrently((0..WRITERS).map(put_repeatedly)).await;
     let (status, _) = machines.get(0, "/watch/g1.?after=1&wait_ms=100").await;
     verify_that!(status, eq(410))?;
+    // A watch that starts 8,000 changes back is still served.
     let path = format!(
         "/watch/g1.?after={}&wait_ms=100",
         MORE_THAN_RETAINED - 8_000
@@ -328,7 +330,7 @@
         let (_, body) = machines.get(watcher, "/cells/g1.a/get").await;
         let revision = number_field(&body, "rev");
         let path = format!("/watch/g1.?after={revision}&wait_ms=8000");
-        let since = Instant::now();
+        let started_at = Instant::now();
         let put = async {
             sleep(Duration::from_millis(300)).await;
             let body = put_body(&value, revision);
@@ -341,7 +343,7 @@
             number_field(&watched.1, "rev"),
             eq(number_field(&put.1, "rev"))
         )?;
-        verify_that!(since.elapsed(), lt(CALL_TIMEOUT))?;
+        verify_that!(started_at.elapsed(), lt(CALL_TIMEOUT))?;
     }
     Ok(())
 }
--- a/crates/emberpin-demo/tests/coordination_history.rs
+++ b/crates/emberpin-demo/tests/coordination_history.rs
@@ -102,7 +102,7 @@
 }
 
 /// The rules that are violated by the valid history after one change.
-fn rules_broken_by(change: impl FnOnce(&mut History)) -> Vec<&'static str> {
+fn rules_violated_by(change: impl FnOnce(&mut History)) -> Vec<&'static str> {
     let mut history = valid_history();
     change(&mut history);
     let mut rules: Vec<&str> = history
@@ -123,62 +123,62 @@
 #[test]
 fn two_holders_at_a_time_and_fencing_tokens_that_do_not_increase_violate_one(
 ) -> googletest::Result<()> {
-    let overlapping = rules_broken_by(|history| history.leases.push(lease("c", 3, 6, 20)));
+    let overlapping = rules_violated_by(|history| history.leases.push(lease("c", 3, 6, 20)));
     verify_that!(overlapping, eq(&vec!["ONE"]))?;
-    let same_token = rules_broken_by(|history| history.leases.push(lease("c", 2, 20, 25)));
+    let same_token = rules_violated_by(|history| history.leases.push(lease("c", 2, 20, 25)));
     verify_that!(same_token, eq(&vec!["ONE"]))?;
-    let lower_token = rules_broken_by(|history| history.leases.push(lease("a", 1, 20, 25)));
+    let lower_token = rules_violated_by(|history| history.leases.push(lease("a", 1, 20, 25)));
     verify_that!(lower_token, eq(&vec!["ONE"]))?;
     let lower_token_of_owner =
-        rules_broken_by(|history| history.leases.push(lease("b", 1, 20, 25)));
+        rules_violated_by(|history| history.leases.push(lease("b", 1, 20, 25)));
     verify_that!(lower_token_of_owner, eq(&vec!["ONE"]))
 }
 
 #[test]
 fn repeated_or_decreasing_numbers_and_revisions_violate_order() -> googletest::Result<()> {
-    let repeated = rules_broken_by(|history| history.numbers.push(number(3, 1)));
+    let repeated = rules_violated_by(|history| history.numbers.push(number(3, 1)));
     verify_that!(repeated, eq(&vec!["ORDER"]))?;
-    let lower = rules_broken_by(|history| history.numbers.push(number(8, 20)));
+    let lower = rules_violated_by(|history| history.numbers.push(number(8, 20)));
     verify_that!(lower, eq(&vec!["ORDER"]))?;
-    let lower_revision = rules_broken_by(|history| {
+    let lower_revision = rules_violated_by(|history| {
         let late = put("g1.b", "late", 2, 20, PutOutcome::Written(3));
         history.watches.pop();
         history.puts.push(late);
     });
     verify_that!(lower_revision, eq(&vec!["ORDER"]))?;
-    let over_a_later_one = rules_broken_by(|history| {
+    let over_a_later_revision = rules_violated_by(|history| {
         let over = put("g1.a", "over", 1, 20, PutOutcome::Written(5));
         history.puts.push(over);
     });
-    verify_that!(over_a_later_one, eq(&vec!["ORDER"]))?;
-    let passed_over =
-        rules_broken_by(|history| history.watches.push(watch(1, 4, &[("g1.b", "y", 2)])));
-    verify_that!(passed_over, eq(&vec!["ORDER"]))?;
-    let falling = rules_broken_by(|history| {
+    verify_that!(over_a_later_revision, eq(&vec!["ORDER"]))?;
+    let skipped =
+        rules_violated_by(|history| history.watches.push(watch(1, 4, &[("g1.b", "y", 2)])));
+    verify_that!(skipped, eq(&vec!["ORDER"]))?;
+    let decreasing = rules_violated_by(|history| {
         let events = [("g1.a", "z", 4), ("g1.b", "unclear", 3)];
         history.watches.push(watch(2, 4, &events));
     });
-    verify_that!(falling, eq(&vec!["ORDER"]))
+    verify_that!(decreasing, eq(&vec!["ORDER"]))
 }
 
 #[test]
 fn stale_reads_and_values_that_were_never_written_violate_stale_mixed_and_refused(
 ) -> googletest::Result<()> {
-    let behind = rules_broken_by(|history| history.gets.push(get("g1.a", "x", 1, 20)));
-    verify_that!(behind, eq(&vec!["STALE"]))?;
-    let never_put = rules_broken_by(|history| history.gets.push(get("g1.b", "nobody", 7, 20)));
+    let stale = rules_violated_by(|history| history.gets.push(get("g1.a", "x", 1, 20)));
+    verify_that!(stale, eq(&vec!["STALE"]))?;
+    let never_put = rules_violated_by(|history| history.gets.push(get("g1.b", "nobody", 7, 20)));
     verify_that!(never_put, eq(&vec!["MIXED"]))?;
-    let two_revisions = rules_broken_by(|history| history.gets.push(get("g1.a", "z", 6, 20)));
+    let two_revisions = rules_violated_by(|history| history.gets.push(get("g1.a", "z", 6, 20)));
     verify_that!(two_revisions, eq(&vec!["MIXED"]))?;
-    let unknown_revision = rules_broken_by(|history| {
+    let unknown_revision = rules_violated_by(|history| {
         let changed = put("g1.a", "late", 4, 20, PutOutcome::Conflict(3));
         history.puts.push(changed);
     });
     verify_that!(unknown_revision, eq(&vec!["MIXED"]))?;
     for refused in ["refused", "away"] {
         let cell = if refused == "away" { "g1.b" } else { "g1.a" };
-        let shown = rules_broken_by(|history| history.gets.push(get(cell, refused, 8, 20)));
-        verify_that!(shown, eq(&vec!["REFUSED"]))?;
+        let visible = rules_violated_by(|history| history.gets.push(get(cell, refused, 8, 20)));
+        verify_that!(visible, eq(&vec!["REFUSED"]))?;
     }
     Ok(())
 }
--- a/crates/emberpin-demo/tests/coordination_restarts.rs
+++ b/crates/emberpin-demo/tests/coordination_restarts.rs
@@ -10,6 +10,7 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
+/// The duration of the lease of the lock `l1`.
 const LEASE_MS: u64 = 3_000;
 /// The number of changes of the group before the saved revision, and of those after it.
 const CHANGES: u64 = 20;
@@ -114,7 +115,7 @@
     /// Verifies that the lock is free once its lease has expired, and is granted with a higher fencing token than
     /// before.
     async fn verify_lock(&self, machines: &CoreMachines) -> googletest::Result<()> {
-        let since = Instant::now();
+        let started_at = Instant::now();
         let begin = begin_body("successor", LEASE_MS);
         for machine in (0..machines.count()).cycle() {
             let (status, body) = machines.post(machine, "/locks/l1/begin", &begin).await;
@@ -123,7 +124,7 @@
                 break;
             }
             verify_that!(status, eq(409))?;
-            verify_that!(since.elapsed(), lt(ANSWER_TIMEOUT))?;
+            verify_that!(started_at.elapsed(), lt(ANSWER_TIMEOUT))?;
             sleep(RETRY_BACKOFF).await;
         }
         // The former holder has lost the lock.
--- a/crates/emberpin-demo/tests/coordination_soak.rs
+++ b/crates/emberpin-demo/tests/coordination_soak.rs
@@ -18,6 +18,7 @@
 const SEEDS_VARIABLE: &str = "EMBERPIN_SOAK_SEEDS";
 const MACHINES_VARIABLE: &str = "EMBERPIN_SOAK_MACHINES";
 const SECONDS_VARIABLE: &str = "EMBERPIN_SOAK_SECONDS";
+/// The number of concurrent callers.
 const CALLERS: u32 = 24;
 /// The maximum number of violations that are printed for a run.
 const MAX_VIOLATIONS_PRINTED: usize = 5;
@@ -53,7 +54,7 @@
     let history = run.history.borrow();
     let violations = history.violations();
     println!(
-        "seed {seed}: {} holds, {} numbers, {} puts, {} reads, {} watches; {} broken rules",
+        "seed {seed}: {} leases, {} numbers, {} puts, {} reads, {} watches; {} violations",
         history.leases.len(),
         history.numbers.len(),
         history.puts.len(),
@@ -64,7 +65,7 @@
     if let Some(first) = violations.first() {
         println!("faults:\n{}", faults.log.join("\n"));
         println!(
-            "seen at {}:\n{}",
+            "calls at {}:\n{}",
             first.subject,
             history.describe(&first.subject)
         );
--- a/crates/emberpin-demo/tests/core_machines/applications.rs
+++ b/crates/emberpin-demo/tests/core_machines/applications.rs
@@ -25,8 +25,11 @@
 const FINAL_CALL_TIMEOUT: Duration = Duration::from_secs(15);
 /// The maximum age of a revision from which a watch can be resumed: `history` of the settings.
 const RETENTION_PERIOD: Duration = Duration::from_secs(20);
+/// The delay before a call is sent to another machine.
 const RETRY_BACKOFF: Duration = Duration::from_millis(50);
+/// How long a watch waits for changes.
 const WATCH_WAIT: Duration = Duration::from_secs(2);
+/// The numbers of locks, counters, groups and cells that the callers share.
 const LOCKS: u32 = 5;
 const COUNTERS: u32 = 3;
 const GROUPS: u32 = 2;
@@ -127,6 +130,7 @@
     run: Run,
     addresses: Vec<SocketAddr>,
     connections: Vec<Option<Connection>>,
+    /// The index of the machine that is called next.
     current: usize,
     random: Rand32,
 }
@@ -313,10 +317,10 @@
         while self.run.now() < sent + PUT_RETRY_TIME {
             match self.post(&path, &body).await.1 {
                 Attempt::Answered((200, body)) => {
-                    outcome = PutOutcome::Written(number_field(&body, "rev"))
+                    outcome = PutOutcome::Written(number_field(&body, "rev"));
                 }
                 Attempt::Answered((412, body)) => {
-                    outcome = PutOutcome::Conflict(number_field(&body, "rev"))
+                    outcome = PutOutcome::Conflict(number_field(&body, "rev"));
                 }
                 Attempt::Answered(other) => self.report_unexpected_answer(cell, &other),
                 Attempt::Rejected => continue,
@@ -448,6 +452,7 @@
 struct Caller {
     client: Client,
     name: String,
+    /// The number of puts so far, which makes every value unique.
     puts: u32,
 }
 
--- a/crates/emberpin-demo/tests/core_machines/faults.rs
+++ b/crates/emberpin-demo/tests/core_machines/faults.rs
@@ -26,6 +26,7 @@
     StartAfterExit,
 }
 
+/// A step, the process that it applies to, and its time.
 struct PlannedStep {
     at: Instant,
     machine: usize,
@@ -41,9 +42,11 @@
     victim: usize,
     /// How many faults out of ten hit any machine instead of the victim.
     any_machine_of_ten: u32,
+    /// The steps that end the current faults.
     planned: Vec<PlannedStep>,
     /// When a fault last began or a planned step was last due.
     last_fault_at: Instant,
+    /// A line for each fault and each restart, with the time since the start.
     pub log: Vec<String>,
 }
 
@@ -110,12 +113,12 @@
             let still_planned = self.planned.first().map(|planned| planned.step);
             assert!(
                 Instant::now() < until,
-                "{still_planned:?} is not done:\n{}",
+                "the planned step {still_planned:?} was not completed:\n{}",
                 self.log.join("\n")
             );
         }
         machines.restart_all();
-        self.log_event("all processes run".into());
+        self.log_event("all processes are running".into());
     }
 
     fn begin_fault(&mut self, machines: &mut CoreMachines) {
@@ -151,7 +154,7 @@
                 }
             }
             13..=15 => {
-                self.log_event(format!("machine {machine} is asked to end: {roles:?}"));
+                self.log_event(format!("machine {machine} receives SIGTERM: {roles:?}"));
                 for role in roles {
                     if !machines.is_running(machine, *role) {
                         continue;
--- a/crates/emberpin-demo/tests/core_machines/history.rs
+++ b/crates/emberpin-demo/tests/core_machines/history.rs
@@ -1,5 +1,13 @@
 //! The history of the calls that applications made, with times on one steady clock, and the check of the history
-//! against the rules for locks, numbers and cells.
+//! against the rules for locks, numbers and cells. Each violation names its rule:
+//!
+//! - ONE: a lock has at most one holder at a time, and fencing tokens increase from holder to holder.
+//! - ORDER: numbers and revisions are unique, and increase from one call to every later one; watches skip no revision.
+//! - STALE: a read returns no older revision than a put that was acknowledged before.
+//! - MIXED: every value belongs to one put of its cell and to one revision, and a conflict names a revision of the cell.
+//! - REFUSED: the value of a put that was rejected or had a conflict never becomes visible.
+//! - LOST: at the end of a run every call is answered, and the acknowledged state is still there.
+//! - STATUS: every answer has an expected status.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -170,10 +178,10 @@
     fn leases_in_order(&self) -> Vec<Lease> {
         let mut leases = self.leases.clone();
         leases.sort_by_key(|lease| std::cmp::Reverse(lease.span.received));
-        let mut next_begin: BTreeMap<(String, String), Duration> = BTreeMap::new();
+        let mut next_lease_start: BTreeMap<(String, String), Duration> = BTreeMap::new();
         for lease in &mut leases {
             let caller = (lease.lock.clone(), lease.owner.clone());
-            if let Some(next) = next_begin.insert(caller, lease.span.received) {
+            if let Some(next) = next_lease_start.insert(caller, lease.span.received) {
                 lease.until = lease.until.min(next);
             }
         }
@@ -198,7 +206,7 @@
                         findings.add_violation(
                             "ONE",
                             &first.lock,
-                            format!("a lower fence: {}", details()),
+                            format!("a lower fencing token: {}", details()),
                         );
                     }
                     continue;
@@ -211,13 +219,17 @@
                     );
                 }
                 if first.fencing_token == second.fencing_token {
-                    findings.add_violation("ONE", &first.lock, format!("one fence: {}", details()));
+                    findings.add_violation(
+                        "ONE",
+                        &first.lock,
+                        format!("the same fencing token: {}", details()),
+                    );
                 }
                 if is_later && second.fencing_token <= first.fencing_token {
                     findings.add_violation(
                         "ONE",
                         &first.lock,
-                        format!("a lower fence: {}", details()),
+                        format!("a lower fencing token: {}", details()),
                     );
                 }
             }
@@ -237,7 +249,7 @@
             by_counter.entry(counter).or_default().push((*value, *span));
         }
         for (counter, entries) in by_counter {
-            check_rising(counter, entries, findings);
+            check_increasing(counter, entries, findings);
         }
     }
 
@@ -262,12 +274,12 @@
             );
             let first = written_values.entry(key).or_insert_with(|| pair.clone());
             if *first != pair {
-                let details = format!("revision {revision} is that of {first:?} and of {pair:?}");
+                let details = format!("revision {revision} belongs to {first:?} and to {pair:?}");
                 findings.add_violation("ORDER", cell, details);
             }
             let first = *revisions.entry(pair).or_insert(revision);
             if first != revision {
-                let details = format!("{value} is shown under {first} and {revision}");
+                let details = format!("{value} has the revisions {first} and {revision}");
                 findings.add_violation("MIXED", cell, details);
             }
         }
@@ -297,7 +309,7 @@
                 ),
                 Some(put) => {
                     if let PutOutcome::Conflict(_) | PutOutcome::Rejected = put.outcome {
-                        let details = format!("shown at {revision}, though turned away: {put:?}");
+                        let details = format!("visible at {revision}, though rejected: {put:?}");
                         findings.add_violation("REFUSED", cell, details);
                     }
                 }
@@ -325,21 +337,21 @@
                             format!("not above `when`: {put:?}"),
                         );
                     } else if let Some(later) = range(put.when + 1, revision).next() {
-                        let details = format!("over the later revision {later}: {put:?}");
+                        let details = format!("overwrote the later revision {later}: {put:?}");
                         findings.add_violation("ORDER", &put.cell, details);
                     }
                 }
                 PutOutcome::Conflict(0) | PutOutcome::Rejected | PutOutcome::Unknown => {}
                 PutOutcome::Conflict(revision) => {
                     if range(revision, revision + 1).next().is_none() {
-                        let details = format!("no put gave the cell this revision: {put:?}");
+                        let details = format!("the cell never had this revision: {put:?}");
                         findings.add_violation("MIXED", &put.cell, details);
                     }
                 }
             }
         }
         for (group, entries) in by_group {
-            check_rising(group, entries, findings);
+            check_increasing(group, entries, findings);
         }
     }
 
@@ -358,7 +370,7 @@
             let before = puts.filter(|(received, _)| *received < get.span.sent);
             let newest = before.map(|(_, revision)| *revision).max();
             if newest.is_some_and(|newest| get.revision < newest) {
-                let details = format!("behind {newest:?}: {get:?}");
+                let details = format!("older than {newest:?}: {get:?}");
                 findings.add_violation("STALE", &get.cell, details);
             }
         }
@@ -374,11 +386,11 @@
         for watch in &self.watches {
             let event_revisions: Vec<u64> =
                 watch.events.iter().map(|event| event.revision).collect();
-            let is_rising = event_revisions.windows(2).all(|pair| pair[0] < pair[1]);
+            let is_increasing = event_revisions.windows(2).all(|pair| pair[0] < pair[1]);
             let is_inside = event_revisions
                 .iter()
                 .all(|revision| (watch.after + 1..=watch.revision).contains(revision));
-            if !is_rising || !is_inside || watch.revision < watch.after {
+            if !is_increasing || !is_inside || watch.revision < watch.after {
                 findings.add_violation("ORDER", &watch.group, format!("events: {watch:?}"));
             }
             // A watch after revision 0 only requests the current revision.
@@ -390,7 +402,7 @@
             let span = key(watch.after + 1)..=key(watch.revision);
             for ((_, revision), put) in written_values.range(span) {
                 if !event_revisions.contains(revision) {
-                    let details = format!("passes over {put:?} at {revision}: {watch:?}");
+                    let details = format!("skips {put:?} at {revision}: {watch:?}");
                     findings.add_violation("ORDER", &watch.group, details);
                 }
             }
@@ -400,11 +412,11 @@
 
 /// Checks the rule ORDER for numbers or revisions: none is handed out twice, and each is above all that were handed out
 /// before its call was sent.
-fn check_rising(subject: &str, mut entries: Vec<(u64, Span)>, findings: &mut History) {
+fn check_increasing(subject: &str, mut entries: Vec<(u64, Span)>, findings: &mut History) {
     entries.sort_by_key(|(value, _)| *value);
     for pair in entries.windows(2) {
         if pair[0].0 == pair[1].0 {
-            findings.add_violation("ORDER", subject, format!("given twice: {pair:?}"));
+            findings.add_violation("ORDER", subject, format!("handed out twice: {pair:?}"));
         }
     }
     // No higher value may have been received before the call for a value was sent.
--- a/crates/emberpin-demo/tests/deployed_system/mod.rs
+++ b/crates/emberpin-demo/tests/deployed_system/mod.rs
@@ -25,12 +25,13 @@
 
 /// A test fails if a command or a read gets no clear answer within this time.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
-/// `sync_time` of the settings: the time after a repair after which another disk may be lost.
+/// `sync_time` of the settings: another disk may be lost this long after a repair.
 pub const SYNC_TIME: Duration = Duration::from_secs(4);
 /// `ack` of the settings: the maximum time of a call while a machine is down.
 pub const ACK: Duration = Duration::from_secs(5);
 /// The next machine is called if one does not respond within this time.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// The delay before the next call after one without a clear answer.
 const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 const ZONES: [&str; 3] = ["north-quay", "east-quay", "south-quay"];
 /// The number of core machines: one in each zone. The first zone also has an edge.
--- a/crates/emberpin-demo/tests/invariants.rs
+++ b/crates/emberpin-demo/tests/invariants.rs
@@ -212,16 +212,16 @@
         read(configuration(9, "3s")),
         elements_are![eq("read back: route commit differs")]
     );
-    let mut less = configuration(9, "2s");
-    less.remove("limits");
+    let mut without_limits = configuration(9, "2s");
+    without_limits.remove("limits");
     expect_that!(
-        read(less),
+        read(without_limits),
         elements_are![eq("read back: limits is missing")]
     );
-    let mut more = configuration(9, "2s");
-    more.insert("route almanac".into(), jzon::object! { ver: 7 });
+    let mut with_extra_route = configuration(9, "2s");
+    with_extra_route.insert("route almanac".into(), jzon::object! { ver: 7 });
     expect_that!(
-        read(more),
+        read(with_extra_route),
         elements_are![starts_with("read back: route almanac is there")]
     );
 }
--- a/crates/emberpin-demo/tests/system.rs
+++ b/crates/emberpin-demo/tests/system.rs
@@ -34,16 +34,16 @@
 fn an_accepted_patch_is_never_rejected_later() {
     let system = DeployedSystem::start(41);
     expect_that!(system.patch(0, &first_patch()), eq(200));
-    let (five, six, seven) = (
+    let (version_5, version_6, drop_version_7) = (
         route_patch("x", 5, 1_500),
         route_patch("x", 6, 1_600),
         drop_route_patch("x", 7),
     );
-    expect_that!(system.patch(0, &five), eq(200));
-    expect_that!(system.patch(1, &six), eq(200));
-    expect_never_rejected(&system, &five);
-    expect_that!(system.patch(2, &seven), eq(200));
-    for patch in [&five, &six, &seven] {
+    expect_that!(system.patch(0, &version_5), eq(200));
+    expect_that!(system.patch(1, &version_6), eq(200));
+    expect_never_rejected(&system, &version_5);
+    expect_that!(system.patch(2, &drop_version_7), eq(200));
+    for patch in [&version_5, &version_6, &drop_version_7] {
         expect_never_rejected(&system, patch);
     }
     expect_that!(shown_route(&system.read_back(0), "x"), none());
