--- a/crates/emberpin-demo/tests/coordination_faults.rs
+++ b/crates/emberpin-demo/tests/coordination_faults.rs
@@ -6,7 +6,7 @@
 use core_machines::applications::Applications;
 use core_machines::history::History;
 use core_machines::{
-    begin_body, finish_body, heartbeat_body, number_field, put_body, settings, CoreMachines,
+    begin_body, finish_body, heartbeat_body, put_body, settings, u64_field, CoreMachines,
     CALL_TIMEOUT,
 };
 use emberpin_demo::role::Role;
@@ -118,13 +118,13 @@
         .await;
     let granted_at = Instant::now();
     verify_that!(status, eq(200))?;
-    let fencing_token = number_field(&body, "fence");
+    let fencing_token = u64_field(&body, "fence");
     let begin = begin_body("next", 2_000);
     let next_token = loop {
         let sent_at = Instant::now();
         let (status, body) = machines.post(1, "/locks/l1/begin", &begin).await;
         if status == 200 {
-            break number_field(&body, "fence");
+            break u64_field(&body, "fence");
         }
         verify_that!(status, eq(409))?;
         verify_that!(
@@ -150,7 +150,7 @@
     let begin = begin_body("a", 20_000);
     let (status, body) = machines.post(1, "/locks/l1/begin", &begin).await;
     verify_that!(status, eq(200))?;
-    let finish = finish_body("a", number_field(&body, "fence"));
+    let finish = finish_body("a", u64_field(&body, "fence"));
     // The registry reads the call only when it is resumed. The caller calls another one after a second without an
     // answer.
     machines.send_signal(0, Role::Registry, Signal::SIGSTOP);
@@ -175,25 +175,19 @@
     machines.wait_until_served().await;
     let first = put_body("first", 0);
     let (status, body) = machines.post(0, "/cells/g1.a/put", &first).await;
-    let revision = number_field(&body, "rev");
+    let revision = u64_field(&body, "rev");
     verify_that!((status, revision), eq((200, 1)))?;
     let again = machines.post(1, "/cells/g1.a/put", &first).await;
-    verify_that!(
-        (again.0, number_field(&again.1, "rev")),
-        eq((200, revision))
-    )?;
+    verify_that!((again.0, u64_field(&again.1, "rev")), eq((200, revision)))?;
     let second = put_body("second", revision);
     let (status, body) = machines.post(1, "/cells/g1.a/put", &second).await;
     verify_that!(
-        (status, number_field(&body, "rev") > revision),
+        (status, u64_field(&body, "rev") > revision),
         eq((200, true))
     )?;
     // The same holds after the cell has changed.
     let again = machines.post(2, "/cells/g1.a/put", &first).await;
-    verify_that!(
-        (again.0, number_field(&again.1, "rev")),
-        eq((200, revision))
-    )?;
+    verify_that!((again.0, u64_field(&again.1, "rev")), eq((200, revision)))?;
     let (_, body) = machines.get(0, "/cells/g1.a/get").await;
     verify_that!(body, contains_substring("\"second\""))
 }
@@ -207,7 +201,7 @@
         async move { machines.post(0, path, &body).await }
     };
     let (status, body) = post("/locks/l1/begin", begin_body("a", 5_000)).await;
-    let fencing_token = number_field(&body, "fence");
+    let fencing_token = u64_field(&body, "fence");
     verify_that!(
         (status, body),
         eq(&(200, format!("{{\"fence\":{fencing_token}}}")))
@@ -217,10 +211,10 @@
     // The holder itself can acquire the lock again.
     let (status, body) = post("/locks/l1/begin", begin_body("a", 5_000)).await;
     verify_that!(
-        (status, number_field(&body, "fence") >= fencing_token),
+        (status, u64_field(&body, "fence") >= fencing_token),
         eq((200, true))
     )?;
-    let fencing_token = number_field(&body, "fence");
+    let fencing_token = u64_field(&body, "fence");
     let (status, _) = post(
         "/locks/l1/heartbeat",
         heartbeat_body("a", fencing_token, 5_000),
@@ -242,11 +236,11 @@
     verify_that!(status, eq(200))?;
     let (status, body) = post("/locks/l1/begin", begin_body("b", 5_000)).await;
     verify_that!(
-        (status, number_field(&body, "fence") > fencing_token),
+        (status, u64_field(&body, "fence") > fencing_token),
         eq((200, true))
     )?;
     let (status, body) = post("/numbers/n1", "{}".into()).await;
-    let value = number_field(&body, "val");
+    let value = u64_field(&body, "val");
     verify_that!((status, body), eq(&(200, format!("{{\"val\":{value}}}"))))?;
 
     verify_that!(machines.get(0, "/cells/g1.a/get").await.0, eq(404))?;
@@ -286,8 +280,8 @@
         for change in 0..MORE_THAN_RETAINED / WRITERS {
             let body = put_body(&format!("{writer}-{change}"), revision);
             let (status, body) = machines.post(writer as usize % 3, &path, &body).await;
-            assert_eq!((status, number_field(&body, "rev") > revision), (200, true));
-            revision = number_field(&body, "rev");
+            assert_eq!((status, u64_field(&body, "rev") > revision), (200, true));
+            revision = u64_field(&body, "rev");
         }
     };
     run_concurrently((0..WRITERS).map(put_repeatedly)).await;
@@ -328,7 +322,7 @@
     for (watcher, writer) in [(0, 1), (1, 2), (2, 0)] {
         let value = format!("put-{writer}");
         let (_, body) = machines.get(watcher, "/cells/g1.a/get").await;
-        let revision = number_field(&body, "rev");
+        let revision = u64_field(&body, "rev");
         let path = format!("/watch/g1.?after={revision}&wait_ms=8000");
         let started_at = Instant::now();
         let put = async {
@@ -339,10 +333,7 @@
         let (watched, put) = tokio::join!(machines.get(watcher, &path), put);
         verify_that!((watched.0, put.0), eq((200, 200)))?;
         verify_that!(watched.1, contains_substring(format!("\"{value}\"")))?;
-        verify_that!(
-            number_field(&watched.1, "rev"),
-            eq(number_field(&put.1, "rev"))
-        )?;
+        verify_that!(u64_field(&watched.1, "rev"), eq(u64_field(&put.1, "rev")))?;
         verify_that!(started_at.elapsed(), lt(CALL_TIMEOUT))?;
     }
     Ok(())
--- a/crates/emberpin-demo/tests/coordination_history.rs
+++ b/crates/emberpin-demo/tests/coordination_history.rs
@@ -3,7 +3,7 @@
 
 mod core_machines;
 
-use core_machines::history::{Event, Get, History, Lease, Number, Put, PutOutcome, Span, Watch};
+use core_machines::history::{Event, Get, History, Lease, Number, Put, PutResult, Span, Watch};
 use googletest::prelude::*;
 use std::time::Duration;
 
@@ -36,13 +36,13 @@
     }
 }
 
-fn put(cell: &str, value: &str, when: u64, sent: u64, outcome: PutOutcome) -> Put {
+fn put(cell: &str, value: &str, when: u64, sent: u64, result: PutResult) -> Put {
     Put {
         cell: cell.into(),
         value: value.into(),
         when,
         span: span(sent, sent + 1),
-        outcome,
+        result,
     }
 }
 
@@ -81,12 +81,12 @@
         ],
         numbers: vec![number(1, 0), number(3, 1), number(2, 1), number(9, 4)],
         puts: vec![
-            put("g1.a", "x", 0, 0, PutOutcome::Written(1)),
-            put("g1.b", "y", 0, 2, PutOutcome::Written(2)),
-            put("g1.a", "z", 1, 4, PutOutcome::Written(4)),
-            put("g1.a", "refused", 1, 6, PutOutcome::Conflict(4)),
-            put("g1.b", "unclear", 2, 6, PutOutcome::Unknown),
-            put("g1.b", "away", 2, 6, PutOutcome::Rejected),
+            put("g1.a", "x", 0, 0, PutResult::Written(1)),
+            put("g1.b", "y", 0, 2, PutResult::Written(2)),
+            put("g1.a", "z", 1, 4, PutResult::Written(4)),
+            put("g1.a", "refused", 1, 6, PutResult::Changed(4)),
+            put("g1.b", "unclear", 2, 6, PutResult::Unknown),
+            put("g1.b", "away", 2, 6, PutResult::Rejected),
         ],
         gets: vec![get("g1.a", "x", 1, 1), get("g1.a", "z", 4, 6)],
         watches: vec![
@@ -141,13 +141,13 @@
     let lower = rules_violated_by(|history| history.numbers.push(number(8, 20)));
     verify_that!(lower, eq(&vec!["ORDER"]))?;
     let lower_revision = rules_violated_by(|history| {
-        let late = put("g1.b", "late", 2, 20, PutOutcome::Written(3));
+        let late = put("g1.b", "late", 2, 20, PutResult::Written(3));
         history.watches.pop();
         history.puts.push(late);
     });
     verify_that!(lower_revision, eq(&vec!["ORDER"]))?;
     let over_a_later_revision = rules_violated_by(|history| {
-        let over = put("g1.a", "over", 1, 20, PutOutcome::Written(5));
+        let over = put("g1.a", "over", 1, 20, PutResult::Written(5));
         history.puts.push(over);
     });
     verify_that!(over_a_later_revision, eq(&vec!["ORDER"]))?;
@@ -171,7 +171,7 @@
     let two_revisions = rules_violated_by(|history| history.gets.push(get("g1.a", "z", 6, 20)));
     verify_that!(two_revisions, eq(&vec!["MIXED"]))?;
     let unknown_revision = rules_violated_by(|history| {
-        let changed = put("g1.a", "late", 4, 20, PutOutcome::Conflict(3));
+        let changed = put("g1.a", "late", 4, 20, PutResult::Changed(3));
         history.puts.push(changed);
     });
     verify_that!(unknown_revision, eq(&vec!["MIXED"]))?;
--- a/crates/emberpin-demo/tests/coordination_restarts.rs
+++ b/crates/emberpin-demo/tests/coordination_restarts.rs
@@ -4,7 +4,7 @@
 mod core_machines;
 
 use core_machines::{
-    begin_body, finish_body, heartbeat_body, number_field, put_body, CoreMachines, ANSWER_TIMEOUT,
+    begin_body, finish_body, heartbeat_body, put_body, u64_field, CoreMachines, ANSWER_TIMEOUT,
 };
 use googletest::prelude::*;
 use std::time::Duration;
@@ -42,21 +42,18 @@
             let machine = change as usize % machines.count();
             let (status, body) = machines.post(machine, "/numbers/n1", "{}").await;
             verify_that!(
-                (
-                    status,
-                    number_field(&body, "val") > acknowledged.last_number
-                ),
+                (status, u64_field(&body, "val") > acknowledged.last_number),
                 eq((200, true))
             )?;
-            acknowledged.last_number = number_field(&body, "val");
+            acknowledged.last_number = u64_field(&body, "val");
             let value = format!("v{change}");
             let put = put_body(&value, revision);
             let (status, body) = machines.post(machine, "/cells/g1.a/put", &put).await;
             verify_that!(
-                (status, number_field(&body, "rev") > revision),
+                (status, u64_field(&body, "rev") > revision),
                 eq((200, true))
             )?;
-            revision = number_field(&body, "rev");
+            revision = u64_field(&body, "rev");
             if change < CHANGES {
                 acknowledged.saved_revision = revision;
             } else {
@@ -68,11 +65,11 @@
             verify_that!(
                 (
                     status,
-                    number_field(&body, "fence") > acknowledged.fencing_token
+                    u64_field(&body, "fence") > acknowledged.fencing_token
                 ),
                 eq((200, true))
             )?;
-            acknowledged.fencing_token = number_field(&body, "fence");
+            acknowledged.fencing_token = u64_field(&body, "fence");
             if change + 1 < 2 * CHANGES {
                 let finish = finish_body("holder", acknowledged.fencing_token);
                 let (status, _) = machines.post(machine, "/locks/l1/finish", &finish).await;
@@ -88,13 +85,13 @@
         for machine in 0..machines.count() {
             let (status, body) = machines.post(machine, "/numbers/n1", "{}").await;
             verify_that!(
-                (status, number_field(&body, "val") > last_number),
+                (status, u64_field(&body, "val") > last_number),
                 eq((200, true))
             )?;
-            last_number = number_field(&body, "val");
+            last_number = u64_field(&body, "val");
             let (status, body) = machines.get(machine, "/cells/g1.a/get").await;
             let (value, revision) = self.values.last().expect("a value");
-            verify_that!((status, number_field(&body, "rev")), eq((200, *revision)))?;
+            verify_that!((status, u64_field(&body, "rev")), eq((200, *revision)))?;
             verify_that!(body, contains_substring(format!("\"{value}\"")))?;
             let path = format!("/watch/g1.?after={}&wait_ms=2000", self.saved_revision);
             let (status, body) = machines.get(machine, &path).await;
@@ -120,7 +117,7 @@
         for machine in (0..machines.count()).cycle() {
             let (status, body) = machines.post(machine, "/locks/l1/begin", &begin).await;
             if status == 200 {
-                verify_that!(number_field(&body, "fence"), gt(self.fencing_token))?;
+                verify_that!(u64_field(&body, "fence"), gt(self.fencing_token))?;
                 break;
             }
             verify_that!(status, eq(409))?;
--- a/crates/emberpin-demo/tests/core_machines/applications.rs
+++ b/crates/emberpin-demo/tests/core_machines/applications.rs
@@ -2,10 +2,8 @@
 //! machine after a failure, a 5xx, a 429, or a second without an answer. They record all calls in the history of the
 //! run.
 
-use super::history::{Event, Get, History, Lease, Number, Put, PutOutcome, Span, Watch};
-use super::{
-    begin_body, finish_body, heartbeat_body, number_field, put_body, Response, CALL_TIMEOUT,
-};
+use super::history::{Event, Get, History, Lease, Number, Put, PutResult, Span, Watch};
+use super::{begin_body, finish_body, heartbeat_body, put_body, u64_field, Response, CALL_TIMEOUT};
 use emberpin_demo::http::{self, Connection};
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HOST};
@@ -117,8 +115,8 @@
 
 /// The result of one attempt of a call.
 enum Attempt {
-    /// Any other answer.
-    Answered(Response),
+    /// A clear answer: any other status.
+    Clear(Response),
     /// 429 or 503: the call had no effect.
     Rejected,
     /// A time-out, a connection failure, or another 5xx: the call may have had an effect.
@@ -188,12 +186,12 @@
                 match status {
                     429 | 503 => Attempt::Rejected,
                     500.. => Attempt::Unknown,
-                    _ => Attempt::Answered((status, body)),
+                    _ => Attempt::Clear((status, body)),
                 }
             }
             _ => Attempt::Unknown,
         };
-        if !matches!(attempt, Attempt::Answered(_)) {
+        if !matches!(attempt, Attempt::Clear(_)) {
             let other_machines = self.addresses.len() as u32 - 1;
             self.current += 1 + self.random.rand_range(0..other_machines.max(1)) as usize;
             self.current %= self.addresses.len();
@@ -222,7 +220,7 @@
         loop {
             let sent = self.run.now();
             let call = (method.clone(), path);
-            if let Attempt::Answered(response) = self.attempt(call, body, time_limit).await {
+            if let Attempt::Clear(response) = self.attempt(call, body, time_limit).await {
                 let received = self.run.now();
                 return Some((Span { sent, received }, response));
             }
@@ -261,7 +259,7 @@
             .await
         {
             Some((span, (200, body))) => {
-                let value = number_field(&body, "val");
+                let value = u64_field(&body, "val");
                 let counter = counter.to_owned();
                 let numbers = &mut self.run.history.borrow_mut().numbers;
                 numbers.push(Number {
@@ -290,7 +288,7 @@
             (200, body) => {
                 let parsed = jzon::parse(&body).unwrap_or(JsonValue::Null);
                 let value = parsed["val"].as_str().unwrap_or_default().to_owned();
-                (Some(value), number_field(&body, "rev"))
+                (Some(value), u64_field(&body, "rev"))
             }
             (404, _) => (None, 0),
             other => {
@@ -313,19 +311,15 @@
         let path = format!("/cells/{cell}/put");
         let body = put_body(&value, when);
         let sent = self.run.now();
-        let mut outcome = PutOutcome::Rejected;
+        let mut result = PutResult::Rejected;
         while self.run.now() < sent + PUT_RETRY_TIME {
             match self.post(&path, &body).await.1 {
-                Attempt::Answered((200, body)) => {
-                    outcome = PutOutcome::Written(number_field(&body, "rev"));
-                }
-                Attempt::Answered((412, body)) => {
-                    outcome = PutOutcome::Conflict(number_field(&body, "rev"));
-                }
-                Attempt::Answered(other) => self.report_unexpected_answer(cell, &other),
+                Attempt::Clear((200, body)) => result = PutResult::Written(u64_field(&body, "rev")),
+                Attempt::Clear((412, body)) => result = PutResult::Changed(u64_field(&body, "rev")),
+                Attempt::Clear(other) => self.report_unexpected_answer(cell, &other),
                 Attempt::Rejected => continue,
                 Attempt::Unknown => {
-                    outcome = PutOutcome::Unknown;
+                    result = PutResult::Unknown;
                     continue;
                 }
             }
@@ -338,7 +332,7 @@
             value,
             when,
             span: Span { sent, received },
-            outcome,
+            result,
         });
     }
 
@@ -352,10 +346,10 @@
     ) -> Option<u64> {
         let path = format!("/watch/{group}?after={after}&wait_ms={}", wait.as_millis());
         let call = (Method::GET, path.as_str());
-        let outcome = self
+        let result = self
             .call_until_answered(call, "", wait + CALL_TIMEOUT, retry_time)
             .await;
-        let Some((span, response)) = outcome else {
+        let Some((span, response)) = result else {
             self.report_missing_answer(group, retry_time);
             return None;
         };
@@ -371,7 +365,7 @@
             value: text(event, "val"),
             revision: event["rev"].as_u64().unwrap_or_default(),
         });
-        let revision = number_field(&body, "rev");
+        let revision = u64_field(&body, "rev");
         self.run.history.borrow_mut().watches.push(Watch {
             group: group.to_owned(),
             after,
@@ -393,8 +387,8 @@
                     && watch.revision > 0
                     && watch.span.received + RETENTION_PERIOD > now + FINAL_CALL_TIMEOUT / 10
             });
-            let acknowledged = history.puts.iter().filter_map(|put| match put.outcome {
-                PutOutcome::Written(revision) if put.cell.starts_with(group) => Some(revision),
+            let acknowledged = history.puts.iter().filter_map(|put| match put.result {
+                PutResult::Written(revision) if put.cell.starts_with(group) => Some(revision),
                 _ => None,
             });
             (
@@ -429,18 +423,18 @@
         while self.run.now() < until {
             let (span, attempt) = self.post(&path, &body).await;
             match attempt {
-                Attempt::Answered((200, body)) => {
+                Attempt::Clear((200, body)) => {
                     let lease = Lease {
                         lock: lock.to_owned(),
                         owner: "last".to_owned(),
-                        fencing_token: number_field(&body, "fence"),
+                        fencing_token: u64_field(&body, "fence"),
                         span,
                         until: span.sent + Duration::from_millis(2_000),
                     };
                     return self.run.history.borrow_mut().leases.push(lease);
                 }
-                Attempt::Answered((409, _)) => sleep(RETRY_BACKOFF).await,
-                Attempt::Answered(other) => return self.report_unexpected_answer(lock, &other),
+                Attempt::Clear((409, _)) => sleep(RETRY_BACKOFF).await,
+                Attempt::Clear(other) => return self.report_unexpected_answer(lock, &other),
                 Attempt::Rejected | Attempt::Unknown => {}
             }
         }
@@ -534,18 +528,18 @@
         for _ in 0..6 {
             let (span, attempt) = self.client.post(&path, &body).await;
             match attempt {
-                Attempt::Answered((200, body)) => {
+                Attempt::Clear((200, body)) => {
                     let until = span.sent + Duration::from_millis(lease_ms.into());
                     return (span.received < until).then(|| Lease {
                         lock: lock.to_owned(),
                         owner: self.name.clone(),
-                        fencing_token: number_field(&body, "fence"),
+                        fencing_token: u64_field(&body, "fence"),
                         span,
                         until,
                     });
                 }
-                Attempt::Answered((409, _)) => self.client.random_delay(200).await,
-                Attempt::Answered(other) => self.client.report_unexpected_answer(lock, &other),
+                Attempt::Clear((409, _)) => self.client.random_delay(200).await,
+                Attempt::Clear(other) => self.client.report_unexpected_answer(lock, &other),
                 Attempt::Rejected | Attempt::Unknown => {}
             }
         }
@@ -559,16 +553,16 @@
         while self.client.run.now() < lease.until {
             let (span, attempt) = self.client.post(&path, &body).await;
             match attempt {
-                Attempt::Answered((200, _)) if span.received < lease.until => {
+                Attempt::Clear((200, _)) if span.received < lease.until => {
                     let until = span.sent + Duration::from_millis(lease_ms.into());
                     lease.until = lease.until.max(until);
                     return true;
                 }
-                Attempt::Answered((409, _)) => {
+                Attempt::Clear((409, _)) => {
                     lease.until = lease.until.min(span.received);
                     return false;
                 }
-                Attempt::Answered(_) => return false,
+                Attempt::Clear(_) => return false,
                 Attempt::Rejected | Attempt::Unknown => {}
             }
         }
@@ -584,8 +578,8 @@
         self.client.run.history.borrow_mut().leases.push(lease);
         for _ in 0..1 + self.client.draw(3) {
             match self.client.post(&path, &body).await.1 {
-                Attempt::Answered((200, _)) => return,
-                Attempt::Answered(other) => {
+                Attempt::Clear((200, _)) => return,
+                Attempt::Clear(other) => {
                     return self.client.report_unexpected_answer(&lock, &other)
                 }
                 Attempt::Rejected | Attempt::Unknown => {}
--- a/crates/emberpin-demo/tests/core_machines/history.rs
+++ b/crates/emberpin-demo/tests/core_machines/history.rs
@@ -4,8 +4,8 @@
 //! - ONE: a lock has at most one holder at a time, and fencing tokens increase from holder to holder.
 //! - ORDER: numbers and revisions are unique, and increase from one call to every later one; watches skip no revision.
 //! - STALE: a read returns no older revision than a put that was acknowledged before.
-//! - MIXED: every value belongs to one put of its cell and to one revision, and a conflict names a revision of the cell.
-//! - REFUSED: the value of a put that was rejected or had a conflict never becomes visible.
+//! - MIXED: every value belongs to one put of its cell and to one revision, and a 412 names a revision of the cell.
+//! - REFUSED: the value of a put that was rejected or answered 412 never becomes visible.
 //! - LOST: at the end of a run every call is answered, and the acknowledged state is still there.
 //! - STATUS: every answer has an expected status.
 
@@ -32,13 +32,13 @@
     pub until: Duration,
 }
 
-/// The outcome of a put, over all of its attempts.
+/// The result of a put, over all of its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PutOutcome {
+pub enum PutResult {
     /// 200 with the new revision of the cell.
     Written(u64),
-    /// 412 with the current revision of the cell.
-    Conflict(u64),
+    /// 412: the cell had another revision than the put required. With the current revision of the cell.
+    Changed(u64),
     /// 429 or 503 for each attempt: nothing was written.
     Rejected,
     /// No clear answer: the value may have been written or not.
@@ -54,7 +54,7 @@
     pub when: u64,
     /// The time from the first attempt to the answer.
     pub span: Span,
-    pub outcome: PutOutcome,
+    pub result: PutResult,
 }
 
 /// A read of a cell, with its value and revision. A cell that does not exist has no value and revision 0.
@@ -256,8 +256,8 @@
     /// Collects the values that are known to have been written: for each group and revision, the cell and its value.
     /// Reports a revision with two values (ORDER) and a value with two revisions (MIXED).
     fn written_values(&self, findings: &mut History) -> BTreeMap<(String, u64), (String, String)> {
-        let acknowledged = self.puts.iter().filter_map(|put| match put.outcome {
-            PutOutcome::Written(revision) => Some((&put.cell, &put.value, revision)),
+        let acknowledged = self.puts.iter().filter_map(|put| match put.result {
+            PutResult::Written(revision) => Some((&put.cell, &put.value, revision)),
             _ => None,
         });
         let watched = self.watches.iter().flat_map(|watch| &watch.events);
@@ -286,7 +286,7 @@
         written_values
     }
 
-    /// Checks the puts against the written values. MIXED: a value that nobody put, or a conflict with a revision that
+    /// Checks the puts against the written values. MIXED: a value that nobody put, or a 412 with a revision that
     /// the cell never had. REFUSED: a value that was written although its put was rejected. ORDER: a revision that is
     /// not above the required one, or a put that overwrote a later revision than the required one.
     fn check_puts(
@@ -308,7 +308,7 @@
                     format!("nobody put {value} at {revision}"),
                 ),
                 Some(put) => {
-                    if let PutOutcome::Conflict(_) | PutOutcome::Rejected = put.outcome {
+                    if let PutResult::Changed(_) | PutResult::Rejected = put.result {
                         let details = format!("visible at {revision}, though rejected: {put:?}");
                         findings.add_violation("REFUSED", cell, details);
                     }
@@ -324,8 +324,8 @@
                 let range = (group.to_owned(), from)..(group.to_owned(), to);
                 written_values.range(range).filter_map(revision_of_cell)
             };
-            match put.outcome {
-                PutOutcome::Written(revision) => {
+            match put.result {
+                PutResult::Written(revision) => {
                     by_group
                         .entry(group)
                         .or_default()
@@ -341,8 +341,8 @@
                         findings.add_violation("ORDER", &put.cell, details);
                     }
                 }
-                PutOutcome::Conflict(0) | PutOutcome::Rejected | PutOutcome::Unknown => {}
-                PutOutcome::Conflict(revision) => {
+                PutResult::Changed(0) | PutResult::Rejected | PutResult::Unknown => {}
+                PutResult::Changed(revision) => {
                     if range(revision, revision + 1).next().is_none() {
                         let details = format!("the cell never had this revision: {put:?}");
                         findings.add_violation("MIXED", &put.cell, details);
@@ -360,7 +360,7 @@
     fn check_reads(&self, findings: &mut History) {
         let mut acknowledged: BTreeMap<&str, Vec<(Duration, u64)>> = BTreeMap::new();
         for put in &self.puts {
-            if let PutOutcome::Written(revision) = put.outcome {
+            if let PutResult::Written(revision) = put.result {
                 let of_cell = acknowledged.entry(&put.cell).or_default();
                 of_cell.push((put.span.received, revision));
             }
--- a/crates/emberpin-demo/tests/core_machines/mod.rs
+++ b/crates/emberpin-demo/tests/core_machines/mod.rs
@@ -334,7 +334,7 @@
 }
 
 /// A number field of a JSON response body; 0 if it is missing.
-pub fn number_field(body: &str, field: &str) -> u64 {
+pub fn u64_field(body: &str, field: &str) -> u64 {
     let body = jzon::parse(body).unwrap_or(JsonValue::Null);
     body[field].as_u64().unwrap_or_default()
 }
