--- a/crates/emberpin-demo/tests/documentation.rs
+++ b/crates/emberpin-demo/tests/documentation.rs
@@ -1,23 +1,23 @@
-//! What the pages name exists: each link leads to a file, each source file and folder is there, and each type, constant
-//! and function that the architecture page and the glossary name is defined in the code.
+//! Checks that the documentation refers only to what exists: the targets of links, source files and folders, the types,
+//! constants and functions that the architecture page and the glossary name, and the log lines of the operators' page.
 
 use googletest::prelude::*;
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Pages whose types, constants and functions are looked up, too.
+/// The pages whose types, constants and functions must be defined in the code.
 const PAGES_THAT_NAME_CODE: [&str; 2] = ["docs/ARCHITECTURE.md", "docs/GLOSSARY.md"];
-/// Names in code spans that the code does not define: types of the standard library and of dependencies.
+/// Names in code spans that are defined in the standard library or in dependencies.
 const FOREIGN_NAMES: [&str; 5] = ["Duration", "Instant", "TcpListener", "Result", "Option"];
-/// A code span that begins with one of these is a path from the root.
+/// A code span that begins with one of these is a path from the root of the repository.
 const TOP_FOLDERS: [&str; 3] = ["crates/", "docs/", "deploy/"];
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// All files below a folder, as paths from the root with slashes.
+/// All files below a folder, as paths from the root, separated by slashes.
 fn files_below(folder: &str) -> Vec<String> {
     let mut files = Vec::new();
     for entry in fs::read_dir(root().join(folder)).expect("a folder") {
@@ -37,7 +37,7 @@
     fs::read_to_string(root().join(path)).unwrap_or_else(|error| panic!("{path}: {error}"))
 }
 
-/// The pages: the README files and all below `docs`.
+/// The paths of all pages: the README files and the pages below `docs`.
 fn pages() -> Vec<String> {
     let mut pages = files_below("docs");
     pages.push("README.md".into());
@@ -47,7 +47,7 @@
     pages
 }
 
-/// A page without its fenced and indented blocks, in which drawings and examples stand.
+/// The text of a page without its fenced and indented blocks, which contain drawings and examples.
 fn prose(page: &str) -> String {
     let mut fenced = false;
     let mut prose = String::new();
@@ -62,7 +62,7 @@
     prose
 }
 
-/// The targets of the links of a page that lead to files.
+/// The targets of the links of a page, without anchors, except those to other sites or within the page.
 fn link_targets(page: &str) -> Vec<String> {
     let ends = page.split("](").skip(1);
     let targets = ends.filter_map(|rest| rest.split_once(')').map(|(target, _)| target));
@@ -71,7 +71,7 @@
     files.map(path).collect()
 }
 
-/// What stands between single backticks.
+/// The code spans of a page: the texts between single backticks.
 fn code_spans(page: &str) -> Vec<String> {
     let spans = page
         .lines()
@@ -86,7 +86,7 @@
     span.chars().all(plain) && (from_root || span.ends_with(".rs"))
 }
 
-/// Whether a path of a page names one of the files, or a folder above one of them.
+/// Whether a path in a page names one of the files, or a folder that contains one of them.
 fn exists(path: &str, files: &[String]) -> bool {
     let path = path.trim_end_matches('/');
     let below = format!("{path}/");
@@ -96,7 +96,7 @@
         .any(|file| file == path || file.starts_with(&below) || file.ends_with(&within))
 }
 
-/// Every word of the code that may be a name.
+/// Every word of the code in `src` folders, without comment lines. Any of them can be a name.
 fn words_of_the_code() -> BTreeSet<String> {
     let sources = files_below("crates");
     let sources = sources
@@ -114,7 +114,8 @@
     words
 }
 
-/// The names of the code in a span: `Type`, `Type::method`, `CONSTANT_NAME` or `function()`.
+/// The names in a code span that has the form `Type`, `Type::method`, `CONSTANT_NAME` or `function()`; none for any
+/// other form.
 fn names(span: &str) -> Vec<String> {
     let called = span.ends_with("()");
     let path = span.trim_end_matches("()");
@@ -136,10 +137,11 @@
     }
 }
 
-/// Lines that a dependency writes, or that only the system words.
+/// Log lines of the page whose sentence is not in the code, because a dependency or the operating system words it.
 const FOREIGN_LOG_LINES: [&str; 1] = ["storage engine"];
 
-/// The sentence of a row of the page on logs, up to its fields: `| level | `sentence: field=…` | … |`.
+/// The sentence of a log line, without its fields, from a table row of the page on logs:
+/// `| level | `sentence: field=…` | … |`.
 fn logged_sentence(row: &str) -> Option<&str> {
     let mut cells = row.split(" | ");
     let level = cells.next()?.trim_start_matches("| ");
@@ -150,7 +152,7 @@
     line.split([':', '=', '…']).next()
 }
 
-/// The sources as one text, in which a string that is continued on the next line is one line.
+/// All sources in `src` folders as one text, in which a string that is continued on the next line is joined to one line.
 fn sources() -> String {
     let paths = files_below("crates");
     let sources = paths
