--- a/crates/emberpin-ctl/src/client.rs
+++ b/crates/emberpin-ctl/src/client.rs
@@ -16,8 +16,8 @@
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The additional time-out for each whole MiB of a request body.
 const RESPONSE_TIMEOUT_PER_MIB: Duration = Duration::from_secs(1);
-/// No attempt begins later than this after the start of a call, because a change may be repeated only for a limited
-/// time.
+/// No attempt begins later than this after the start of a call, because repeating a change is permitted only for a
+/// limited time.
 pub const RETRY_WINDOW: Duration = Duration::from_secs(5);
 /// The delay before the second attempt; it doubles with each attempt, up to `MAX_BACKOFF`.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
@@ -92,7 +92,7 @@
 /// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// A registry rejected the request; the change is not in force.
+    /// A registry rejected the request; if it was a change, the change is not in force.
     #[error("{address} refuses: {status} {body}")]
     Rejected {
         /// The address of the registry.
@@ -102,16 +102,20 @@
         /// The response body, which gives the reason.
         body: String,
     },
-    /// No registry acknowledged or rejected the request within [`RETRY_WINDOW`]; a change may be in force or not.
-    #[error("no clear answer; an order may be in force or not. Last: {address}: {source}")]
+    /// No registry acknowledged or rejected the request within [`RETRY_WINDOW`]; if it was a change, the change may
+    /// be in force or not.
+    #[error(
+        "no clear answer; if the request was a change, it may be in force or not. \
+         Last attempt: {address}: {source}"
+    )]
     NoClearResponse {
         /// The address of the last attempt.
         address: String,
         /// How that attempt failed.
         source: AttemptError,
     },
-    /// The list of addresses is empty.
-    #[error("no clear answer; an order may be in force or not. Last: there is no address to ask")]
+    /// The list of addresses is empty, so nothing was sent.
+    #[error("no registry address is given; nothing was sent")]
     NoAddress,
 }
 
@@ -127,7 +131,7 @@
         body: String,
     },
     /// There was no complete response within this time.
-    #[error("silent for {0:?}")]
+    #[error("no complete response within {0:?}")]
     TimedOut(Duration),
     /// The `Location` header of a redirect is not a URI.
     #[error("redirects to {0}, which is not a valid URI")]
--- a/crates/emberpin-ctl/tests/checks.rs
+++ b/crates/emberpin-ctl/tests/checks.rs
@@ -112,7 +112,7 @@
     let mut fleet_report = fleet(|_, _| {});
     let timed_out = AttemptError::TimedOut(Duration::from_secs(1));
     fleet_report.registries[1] = report(1, Err(timed_out.into()));
-    let problem = "registry 10.2.0.1:8649 gives no status: silent for 1s";
+    let problem = "registry 10.2.0.1:8649 gives no status: no complete response within 1s";
     expect_that!(
         found(&fleet_report, unreachable_registries),
         elements_are![eq(problem)]
@@ -208,8 +208,7 @@
     expect_that!(
         found(&fleet_report, services_without_server),
         elements_are![eq(
-            "the configuration cannot be read: no clear answer; an order may be in force or not. \
-             Last: there is no address to ask"
+            "the configuration cannot be read: no registry address is given; nothing was sent"
         )]
     );
 }
@@ -318,8 +317,8 @@
     };
     fleet_report.locks = Err(error.into());
     let problem =
-        "locks, numbers and cells cannot be read: no clear answer; an order may be in force or \
-                   not. Last: 10.1.0.1:8649: status 504 no majority";
+        "locks, numbers and cells cannot be read: no clear answer; if the request was a change, \
+                   it may be in force or not. Last attempt: 10.1.0.1:8649: status 504 no majority";
     expect_that!(
         found(&fleet_report, unreadable_registers),
         elements_are![eq(problem)]
--- a/crates/emberpin-ctl/tests/client.rs
+++ b/crates/emberpin-ctl/tests/client.rs
@@ -116,7 +116,10 @@
     expect_that!(code, some(eq(1)));
     expect_that!(
         err,
-        starts_with("no clear answer; an order may be in force or not. Last: ")
+        starts_with(
+            "no clear answer; if the request was a change, it may be in force or not. \
+             Last attempt: "
+        )
     );
     expect_that!(started_at.elapsed().as_secs_f64(), lt(6.5));
     expect_that!(registry.requests().len(), all!(ge(4), le(10)));
