--- a/crates/emberpin-testbed/src/bin/cold-start.rs
+++ b/crates/emberpin-testbed/src/bin/cold-start.rs
@@ -173,7 +173,7 @@
         Ok(Program {
             path,
             arguments,
-            logs: false,
+            durable_log: false,
             links: self.links,
         })
     }
--- a/crates/emberpin-testbed/src/main.rs
+++ b/crates/emberpin-testbed/src/main.rs
@@ -84,7 +84,7 @@
         Some(path) => Program {
             path: path.clone(),
             arguments: Vec::new(),
-            logs: arguments.logs,
+            durable_log: arguments.logs,
             links: arguments.links,
         },
         None => {
@@ -93,7 +93,7 @@
             Program {
                 path,
                 arguments: vec![LIMITER_COMMAND.into()],
-                logs: arguments.logs,
+                durable_log: arguments.logs,
                 links: arguments.links,
             }
         }
--- a/crates/emberpin-testbed/src/process.rs
+++ b/crates/emberpin-testbed/src/process.rs
@@ -36,9 +36,11 @@
     pub path: PathBuf,
     /// Arguments of the command.
     pub arguments: Vec<OsString>,
-    /// Whether each limiter has a log on disk, initialised before its first start and deleted after the run.
-    pub logs: bool,
-    /// Whether the limiters are connected by stream links, which a split of the peers also cuts.
+    /// Whether each limiter has a durable log (its write-ahead log on disk), initialised before its first start and
+    /// deleted after the run. Not the text that a limiter writes to standard error, which is always captured.
+    pub durable_log: bool,
+    /// Whether the limiters are connected by stream links in addition to the peer network. A network split between
+    /// limiters cuts both.
     pub links: bool,
 }
 
@@ -69,10 +71,11 @@
     pid: Cell<Option<u32>>,
     expected_end: Cell<Option<ProcessEnd>>,
     ended: watch::Sender<bool>,
-    last_log_line: RefCell<String>,
-    /// The point at which its first incarnation stops.
+    /// The last line on standard error before the latest unexpected exit of a ready limiter; empty if there was none.
+    last_stderr_line: RefCell<String>,
+    /// The point of the code at which the next incarnation stops, as `POINT:N`; consumed by the next start.
     stop_point: RefCell<Option<String>>,
-    /// The fault of the disk under its log.
+    /// The fault of the disk that holds the durable log, as `KIND:N`; it applies to every incarnation.
     disk_fault: RefCell<Option<String>>,
 }
 
@@ -98,7 +101,7 @@
             pid: Cell::new(None),
             expected_end: Cell::new(None),
             ended: watch::Sender::new(true),
-            last_log_line: RefCell::default(),
+            last_stderr_line: RefCell::default(),
             stop_point: RefCell::default(),
             disk_fault: RefCell::default(),
         })
@@ -108,22 +111,22 @@
     ///
     /// # Errors
     ///
-    /// [`LimiterError`]: it does not start, or does not become ready.
+    /// [`LimiterError`] if the process does not start or does not become ready.
     pub async fn start(self: &Rc<Self>, config: Value) -> Result<bool, LimiterError> {
         let number = self.number;
         let file = self.folder.join(format!("limiter-{number}.json"));
-        let log = self.folder.join(format!("limiter-{number}.log"));
+        let stderr_path = self.folder.join(format!("limiter-{number}.log"));
         std::fs::write(&file, config.to_string())
             .map_err(self.file_error(LimiterFile::Configuration))?;
-        let log_file = std::fs::OpenOptions::new()
+        let stderr_file = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
-            .open(&log);
-        let log_file = log_file.map_err(self.file_error(LimiterFile::Log))?;
-        let log_arguments = self.log_arguments(&file)?;
+            .open(&stderr_path);
+        let stderr_file = stderr_file.map_err(self.file_error(LimiterFile::Log))?;
+        let durable_log_arguments = self.durable_log_arguments(&file)?;
         let mut child = Command::new(&self.program.path)
             .args(&self.program.arguments)
-            .args(log_arguments)
+            .args(durable_log_arguments)
             .env("GW_CONFIG", &file)
             .envs(
                 self.stop_point
@@ -137,10 +140,11 @@
                     .clone()
                     .map(|fault| ("EMBERPIN_DISK", fault)),
             )
+            // The limiter creates this file when its disk fault first takes effect.
             .env("EMBERPIN_DISK_SAID", self.disk_fault_marker())
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(log_file)
+            .stderr(stderr_file)
             .kill_on_drop(true)
             .spawn()
             .map_err(|source| self.spawn_error(source))?;
@@ -157,11 +161,11 @@
         };
         let started = tokio::select! {
             ended = child.wait() => {
-                let log_text = std::fs::read_to_string(&log).unwrap_or_default();
+                let stderr_text = std::fs::read_to_string(&stderr_path).unwrap_or_default();
                 Err(LimiterError::Ended {
                     number,
                     status: format!("{ended:?}"),
-                    last_line: log_text.lines().last().unwrap_or("nothing").to_string(),
+                    last_line: stderr_text.lines().last().unwrap_or("nothing").to_string(),
                 })
             }
             late = tokio::time::timeout(START_TIMEOUT, ready) => {
@@ -179,7 +183,7 @@
         }
         self.recorder
             .record(EventKind::LimiterReady { limiter: number });
-        spawn_local(self.clone().watch(child, log));
+        spawn_local(self.clone().watch(child, stderr_path));
         Ok(true)
     }
 
@@ -201,10 +205,10 @@
         }
     }
 
-    /// The arguments that give the limiter a log. Before its first start the log is initialised, as an operator does
-    /// it.
-    fn log_arguments(&self, config: &Path) -> Result<Vec<OsString>, LimiterError> {
-        if !self.program.logs {
+    /// The arguments that give the limiter a durable log; none if the program runs without one. Before the first start,
+    /// initialises the log with `log init`, as an operator does.
+    fn durable_log_arguments(&self, config: &Path) -> Result<Vec<OsString>, LimiterError> {
+        if !self.program.durable_log {
             return Ok(Vec::new());
         }
         let file = self.folder.join("log.toml");
@@ -213,11 +217,11 @@
             self.folder.display()
         );
         std::fs::write(&file, table).map_err(self.file_error(LimiterFile::Operator))?;
-        let with = vec!["--with".into(), file.into_os_string()];
+        let arguments = vec!["--with".into(), file.into_os_string()];
         if self.usage.get().starts == 0 {
             let log_init = std::process::Command::new(&self.program.path)
                 .args(&self.program.arguments)
-                .args(&with)
+                .args(&arguments)
                 .args(["log", "init"])
                 .env("GW_CONFIG", config)
                 .output();
@@ -229,17 +233,18 @@
                 });
             }
         }
-        Ok(with)
+        Ok(arguments)
     }
 
-    /// Records the exit of the process, unless it was recorded when the testbed killed it.
-    async fn watch(self: Rc<Self>, mut child: Child, log: PathBuf) {
+    /// Waits for the process to exit and records the exit, unless it was recorded when the testbed killed the process.
+    /// Keeps the last line on standard error after an unexpected exit.
+    async fn watch(self: Rc<Self>, mut child: Child, stderr_path: PathBuf) {
         _ = child.wait().await;
         let end = self.expected_end.get().unwrap_or(ProcessEnd::Crashed);
         if end == ProcessEnd::Crashed {
-            let log_text = std::fs::read_to_string(log).unwrap_or_default();
-            *self.last_log_line.borrow_mut() =
-                log_text.lines().last().unwrap_or_default().to_string();
+            let stderr_text = std::fs::read_to_string(stderr_path).unwrap_or_default();
+            *self.last_stderr_line.borrow_mut() =
+                stderr_text.lines().last().unwrap_or_default().to_string();
         }
         if end != ProcessEnd::Killed && end != ProcessEnd::Overdue {
             self.recorder.record(EventKind::LimiterStopped {
@@ -316,19 +321,20 @@
         self.signal(Signal::SIGHUP);
     }
 
-    /// Makes its first incarnation stop at a point of its code: `POINT:N`, the Nth time that the point is reached.
+    /// Makes the next incarnation stop at a point of its code: `POINT:N`, the Nth time that the point is reached.
     pub fn stop_at_point(&self, point: &str) {
         *self.stop_point.borrow_mut() = Some(point.into());
     }
 
-    /// Makes the disk under its log faulty: `KIND:N`, from the Nth append of each incarnation on.
+    /// Makes the disk that holds the durable log faulty: `KIND:N`, from the Nth append of each incarnation on.
     pub fn set_disk_fault(&self, disk_fault: &str) {
         *self.disk_fault.borrow_mut() = Some(disk_fault.into());
     }
 
-    /// The file that the limiter creates once the disk fault has taken effect.
+    /// The file that the limiter creates once the disk fault has taken effect; passed to it in `EMBERPIN_DISK_SAID`.
     pub fn disk_fault_marker(&self) -> PathBuf {
-        self.folder.join(format!("limiter-{}.lied", self.number))
+        self.folder
+            .join(format!("limiter-{}.disk-fault", self.number))
     }
 
     /// Pauses the process with SIGSTOP, or resumes it with SIGCONT.
@@ -366,24 +372,25 @@
         self.usage.get()
     }
 
-    /// The last line of its log before it exited unexpectedly.
-    pub fn last_log_line(&self) -> String {
-        self.last_log_line.borrow().clone()
+    /// The last line on standard error before the latest unexpected exit of a ready limiter; empty if there was none.
+    pub fn last_stderr_line(&self) -> String {
+        self.last_stderr_line.borrow().clone()
     }
 
-    /// The platform's configuration file for its next start.
+    /// The platform's configuration file for the next start. The last parameter holds the address at which the limiter
+    /// listens for its peers, the addresses at which it reaches each limiter, and the broadcast address to all of them.
     pub fn config(
         &self,
         site: &Site,
         discovery: SocketAddr,
         initial_list: Value,
-        (peer_listen, peers, all): (SocketAddr, Vec<SocketAddr>, SocketAddr),
+        (peer_listen, peers, all_peers): (SocketAddr, Vec<SocketAddr>, SocketAddr),
     ) -> Value {
         let seed = self.seed.replace(self.seed.get().wrapping_add(1));
         json!({
             "name": format!("n{}", self.number), "listen": self.address, "discovery": discovery,
             "seed": format!("{seed:016x}"), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "peer_listen": peer_listen, "peers": peers, "peers_all": all, "known": initial_list,
+            "peer_listen": peer_listen, "peers": peers, "peers_all": all_peers, "known": initial_list,
             "settings": settings::settings(site, self.number),
         })
     }
--- a/crates/emberpin-testbed/tests/catches.rs
+++ b/crates/emberpin-testbed/tests/catches.rs
@@ -24,7 +24,7 @@
     Program {
         path: env!("CARGO_BIN_EXE_wrong-limiter").into(),
         arguments: vec![name.into()],
-        logs: false,
+        durable_log: false,
         links: false,
     }
 }
@@ -33,7 +33,7 @@
     Program {
         path: env!("CARGO_BIN_EXE_emberpin-testbed").into(),
         arguments: vec!["limiter".into()],
-        logs: false,
+        durable_log: false,
         links: false,
     }
 }
@@ -213,7 +213,7 @@
     let missing_program = Program {
         path: PathBuf::from("/nonexistent/limiter"),
         arguments: Vec::new(),
-        logs: false,
+        durable_log: false,
         links: false,
     };
     let problem = run_in_slot(&scenario, &missing_program)
--- a/crates/emberpin-testbed/tests/common/mod.rs
+++ b/crates/emberpin-testbed/tests/common/mod.rs
@@ -27,7 +27,7 @@
     let program = Program {
         path: env!("CARGO_BIN_EXE_emberpin-testbed").into(),
         arguments,
-        logs: false,
+        durable_log: false,
         links,
     };
     let _slot = site_slots::SiteSlot::acquire();
--- a/crates/emberpin-testbed/tests/common/site_slots.rs
+++ b/crates/emberpin-testbed/tests/common/site_slots.rs
@@ -1,7 +1,8 @@
 //! Limits how many sites the tests of one file run at the same time.
 //!
-//! Each site is several processes in real time. If all tests of a file ran at once, they would starve each other: a
-//! load that is not sent exceeds no ceiling, and a cold server without processor time sends no load report.
+//! Each site is several processes in real time. If all tests of a file ran at once, they would starve each other of
+//! processor time: the load that should exceed a limit would not be sent, and a server that is warming up would send no
+//! load report.
 
 use std::sync::{Condvar, Mutex, PoisonError};
 
--- a/crates/emberpin-testbed/tests/idempotency.rs
+++ b/crates/emberpin-testbed/tests/idempotency.rs
@@ -44,7 +44,7 @@
         let mut program = Program {
             path: env!("CARGO_BIN_EXE_emberpin-testbed").into(),
             arguments: vec!["limiter".into()],
-            logs: self.logs_and_links,
+            durable_log: self.logs_and_links,
             links: self.logs_and_links,
         };
         if let Some(file) = &self.file {
--- a/crates/emberpin-testbed/tests/site.rs
+++ b/crates/emberpin-testbed/tests/site.rs
@@ -20,7 +20,7 @@
     let program = Program {
         path: env!("CARGO_BIN_EXE_emberpin-testbed").into(),
         arguments: vec!["limiter".into()],
-        logs: false,
+        durable_log: false,
         links: false,
     };
     run(&scenario, &program, progress).unwrap_or_else(|e| panic!("seed 7: {e}"))
--- a/crates/emberpin-testbed/tests/takeover.rs
+++ b/crates/emberpin-testbed/tests/takeover.rs
@@ -35,7 +35,7 @@
     let program = Program {
         path: env!("CARGO_BIN_EXE_emberpin-testbed").into(),
         arguments,
-        logs: true,
+        durable_log: true,
         links: true,
     };
     run(&scenario, &program, |_| ()).unwrap_or_else(|e| panic!("seed {seed}: {e}"))
