--- a/crates/emberpin-limiter/src/stages/key_log.rs
+++ b/crates/emberpin-limiter/src/stages/key_log.rs
@@ -45,7 +45,7 @@
 }
 
 /// Milliseconds since the machine's boot: continuous over all incarnations within one boot, and independent of the wall
-/// clock /// (`clock_gettime(2)`, `CLOCK_BOOTTIME`).
+/// clock (`clock_gettime(2)`, `CLOCK_BOOTTIME`).
 pub fn boot_clock() -> Millis {
     let now = clock_gettime(ClockId::CLOCK_BOOTTIME)
         .map(|now| (now.tv_sec() as f64, now.tv_nsec() as f64));
