--- a/crates/emberpin-wal/src/service.rs
+++ b/crates/emberpin-wal/src/service.rs
@@ -28,7 +28,7 @@
         ticket: Option<Ticket>,
     },
     Rotate,
-    RemoveSegmentsBefore(u64),
+    RemoveBefore(u64),
 }
 
 /// The outcome of queued commands.
@@ -117,7 +117,7 @@
     ///
     /// If the queue is full.
     pub fn remove_segments_before(&self, before: u64) -> Result<(), QueueFull> {
-        self.send(Command::RemoveSegmentsBefore(before))
+        self.send(Command::RemoveBefore(before))
     }
 
     fn send(&self, command: Command) -> Result<(), QueueFull> {
@@ -166,9 +166,7 @@
                 Command::Append { payload, ticket } => next = self.write(payload, ticket, notify),
                 Command::Rotate => notify(LogEvent::Rotated(self.log.rotate())),
                 // Segments that cannot be removed now are removed by the next retirement.
-                Command::RemoveSegmentsBefore(before) => {
-                    _ = self.log.remove_segments_before(before)
-                }
+                Command::RemoveBefore(before) => _ = self.log.remove_segments_before(before),
             }
             self.bytes.store(self.log.bytes(), Ordering::Relaxed);
         }
