--- a/crates/emberpin-limiter/src/upstream/peer_lists.rs
+++ b/crates/emberpin-limiter/src/upstream/peer_lists.rs
@@ -1,5 +1,9 @@
 //! Endpoint lists that limiters send each other over the link, so that only a few of them watch the list service. Runs the
-//! decisions of `emberpin_startup::list_dissemination` with a clock, the link and the list.
+//! decisions of `emberpin_startup::list_dissemination` (the core) with a clock, the link and the list.
+//!
+//! A list that would remove many servers is doubted: it is not accepted until the doubt expires or an operator overrides
+//! it, see `list_trust`. A list that is accepted after a doubt gets a higher epoch, and peers accept it without a doubt of
+//! their own.
 
 use crate::between::link::{Link, LinkEvent, LIST_MESSAGES, MAX_MESSAGE_BYTES};
 use crate::messages::Input;
@@ -36,8 +40,11 @@
     service_generation: Cell<u32>,
     /// The accepted list, as it is sent to peers.
     list: RefCell<SharedList>,
+    /// The queue of the driver, which decides whether a received list is accepted.
     inputs: mpsc::Sender<Input>,
+    /// Notified after each event that the core has handled.
     changed: Notify,
+    /// Whether the accepted list is too long for a message of the link.
     too_long: Cell<bool>,
 }
 
@@ -73,7 +80,7 @@
         superseded: mpsc::UnboundedSender<()>,
         inputs: mpsc::Sender<Input>,
     ) -> Option<Rc<PeerLists>> {
-        let callers = config.start.as_ref()?.callers?;
+        let watchers = config.start.as_ref()?.callers?;
         let ((settings, number), link) = (config.link.as_ref()?, link?);
         let members: BTreeSet<u32> = settings
             .members
@@ -81,7 +88,7 @@
             .map(|member| member.number)
             .collect();
         let limits = DisseminationConfig {
-            watchers: callers,
+            watchers,
             heartbeat_interval: HEARTBEAT_INTERVAL,
             watcher_timeout: HEARTBEAT_INTERVAL.mul_f64(MISSED_HEARTBEATS),
         };
@@ -89,15 +96,16 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_millis();
-        let known = Some(config.known.rev).filter(|_| !config.known.targets.is_empty());
+        let configured_revision =
+            Some(config.known.rev).filter(|_| !config.known.targets.is_empty());
         let core = ListDissemination::new(
             *number,
             Incarnation(u64::try_from(started).unwrap_or(u64::MAX)),
             &members,
             limits,
-            known,
+            configured_revision,
         );
-        let named = config
+        let service_name = config
             .start
             .as_ref()
             .and_then(|start| start.list_service.clone());
@@ -105,7 +113,7 @@
             core: RefCell::new(core),
             link: link.clone(),
             started_at: Instant::now(),
-            service: RefCell::new(named.unwrap_or_else(|| config.discovery.to_string())),
+            service: RefCell::new(service_name.unwrap_or_else(|| config.discovery.to_string())),
             service_generation: Cell::new(0),
             list: RefCell::default(),
             inputs,
@@ -172,8 +180,8 @@
         });
     }
 
-    /// Records that this list was accepted, and sends it to peers. `doubted` if it was accepted only after doubt, which
-    /// begins a new epoch.
+    /// Records that this list was accepted, and sends it to peers. `doubted` says that it was accepted although it was
+    /// doubted; if it came from the service, this begins a new epoch.
     pub fn on_list_accepted(
         &self,
         rev: u64,
@@ -214,7 +222,7 @@
         self.update_core(|core, now, actions| core.on_list_accepted(now, version, actions));
     }
 
-    /// The list service at another address is used from now on.
+    /// Records that the list service at another address is used from now on.
     pub fn on_service_changed(&self, address: SocketAddr) {
         *self.service.borrow_mut() = address.to_string();
         self.service_generation
@@ -275,6 +283,8 @@
         }
     }
 
+    /// Passes a list from a peer to the driver. `confirmed` if its epoch is higher than that of the current list: a peer
+    /// accepted it after a doubt, so that this limiter accepts it as well.
     fn on_list_received(&self, version: ListVersion, confirmed: bool, entries: &[u8]) {
         match serde_json::from_slice::<Vec<Entry>>(entries) {
             Ok(targets) => {
@@ -290,7 +300,7 @@
                     service_generation,
                     source,
                 };
-                // A list that does not fit into the queue is fetched again.
+                // If the driver's queue is full, the list is dropped. The core then requests it again from a neighbour.
                 _ = self.inputs.try_send(Input::Listing(list));
             }
             Err(e) => {
--- a/crates/emberpin-limiter/src/upstream/wire.rs
+++ b/crates/emberpin-limiter/src/upstream/wire.rs
@@ -1,5 +1,5 @@
-//! The headers of one deployment between a limiter and its servers: those that requests carry, and the meaning of those
-//! in responses.
+//! The HTTP headers between a limiter and its servers, which differ between deployments: which headers are added to
+//! requests, and how the headers of responses are interpreted.
 
 use crate::messages::ResponseHead;
 use emberpin_balancer::host_config::load_report_field;
@@ -8,9 +8,10 @@
 use hyper::{Response, StatusCode};
 use std::time::Duration;
 
-/// The header conventions of one deployment.
+/// The header conventions of a deployment.
 pub trait Wire {
-    /// Adds the headers that state the time left for the request, and the incarnation of the server that it is meant for.
+    /// Sets the headers that state the time left for the request and, if the deployment has a header for it, the server
+    /// incarnation that the request is meant for (`instance`).
     fn set_request_headers(
         &self,
         headers: &mut HeaderMap,
@@ -21,10 +22,12 @@
     /// The id by which a response to a request with these headers is recognised; `None` where responses carry no request id.
     fn request_id(&self, headers: &HeaderMap) -> Option<HeaderValue>;
 
-    /// Whether a response with these headers belongs to the request with this id.
+    /// Whether a response with these headers belongs to the request with this id, and not to an earlier one on the same
+    /// connection.
     fn response_belongs(&self, request_id: Option<&HeaderValue>, headers: &HeaderMap) -> bool;
 
-    /// The outcome of an attempt that received this response. [`Outcome::Ok`] means that the client may receive it as it is.
+    /// The outcome of an attempt that received this response. [`Outcome::Ok`] means that the response is a success, which
+    /// the client may receive.
     fn outcome(&self, request_id: Option<&HeaderValue>, response: &Response<()>) -> Outcome;
 
     /// Whether a server may begin to run a request of which only a part has arrived. If so, an attempt that broke off after
@@ -37,7 +40,7 @@
     /// it.
     fn idle_timeout(&self, headers: &HeaderMap) -> Option<Duration>;
 
-    /// Reads the information in a response's head.
+    /// Extracts the information in the head of a response whose attempt had this outcome.
     fn describe_response(&self, outcome: Outcome, response: Response<()>) -> ResponseInfo;
 }
 
@@ -49,9 +52,9 @@
     pub load: LoadReport,
     /// The customer's metered use as a share of its rate, where the server reported it.
     pub metered: Option<f64>,
-    /// Another server answered than the one that the request was meant for.
+    /// Whether the server states that the request was not meant for it.
     pub misdirected: bool,
-    /// The client may receive this response although it is an error, if no attempt brings a better one.
+    /// Whether the client may receive this response although it is an error, if no attempt brings a better one.
     pub is_forwardable: bool,
 }
 
--- a/crates/emberpin-limiter/tests/link.rs
+++ b/crates/emberpin-limiter/tests/link.rs
@@ -27,11 +27,12 @@
     }
 }
 
+/// Runs the program with these arguments until it exits.
 fn emberpin(arguments: &[&str]) -> std::process::Output {
     Command::new(env!("CARGO_BIN_EXE_emberpin"))
         .args(arguments)
         .output()
-        .expect("runs")
+        .expect("the program starts")
 }
 
 impl Site {
@@ -51,20 +52,20 @@
         let links: Vec<SocketAddr> = (0..3).map(|_| free_port(&own_host())).collect();
         let unique = links[0].to_string().replace(':', "-");
         let folder = std::env::temp_dir().join(format!("emberpin-peering-{unique}"));
-        std::fs::create_dir_all(&folder).expect("made");
+        std::fs::create_dir_all(&folder).expect("the folder is created");
         let keys = folder.join("keys");
-        let made = emberpin(&[
+        let init = emberpin(&[
             "link",
             "init",
-            keys.to_str().expect("text"),
+            keys.to_str().expect("the folder's path is UTF-8"),
             "n0",
             "n1",
             "n2",
         ]);
         assert!(
-            made.status.success(),
+            init.status.success(),
             "{}",
-            String::from_utf8_lossy(&made.stderr)
+            String::from_utf8_lossy(&init.stderr)
         );
         let site = Site {
             limiters,
@@ -89,7 +90,7 @@
                 "[[link.member]]\nnumber = {n}\nname = \"n{n}\"\naddress = \"{address}\"\n"
             );
         }
-        std::fs::write(self.file(), text).expect("written");
+        std::fs::write(self.file(), text).expect("the operator file is written");
     }
 
     fn file(&self) -> PathBuf {
@@ -113,6 +114,7 @@
     fn ask(&mut self, n: usize, key: &str) -> (Message, u32) {
         self.next += 1;
         let id = format!("{}", self.next);
+        // A customer of the plan `wide`, whose rate the test does not reach; `spread=3` lets all three limiters admit it.
         let text = request("submit", &id, "wide", 30.0).replace("spread=1", "spread=3");
         let text = text.replace(
             &format!("Idempotency-Key: k-{id}"),
@@ -125,29 +127,37 @@
                 attempts += 1;
                 arrived.answer("200 OK", "", &format!("signed {key}"));
             }
-            client.set_nonblocking(true).expect("set");
-            let there = client.peek(&mut [0]).is_ok();
-            client.set_nonblocking(false).expect("set");
-            if there {
-                return (Message::read(&client).expect("an answer"), attempts);
+            client
+                .set_nonblocking(true)
+                .expect("the socket becomes non-blocking");
+            let has_response = client.peek(&mut [0]).is_ok();
+            client
+                .set_nonblocking(false)
+                .expect("the socket becomes blocking");
+            if has_response {
+                return (
+                    Message::read(&client).expect("the response is read"),
+                    attempts,
+                );
             }
         }
     }
 
-    /// Repeats a request until a majority of limiters grants its key and it is served. Returns the number of attempts.
-    fn served(&mut self, n: usize, key: &str) -> u32 {
+    /// Repeats a request with this key at limiter `n` until it is served, which needs a majority of limiters that grant the
+    /// key. Returns the number of attempts that the server received.
+    fn ask_until_served(&mut self, n: usize, key: &str) -> u32 {
         let started = Instant::now();
-        let mut all = 0;
+        let mut all_attempts = 0;
         loop {
             let (answer, attempts) = self.ask(n, key);
-            all += attempts;
+            all_attempts += attempts;
             match answer.status() {
                 200 => {
                     assert_eq!(answer.body, format!("signed {key}").as_bytes());
-                    return all;
+                    return all_attempts;
                 }
-                503 => assert!(started.elapsed() < LONG, "never a majority"),
-                other => panic!("{other}"),
+                503 => assert!(started.elapsed() < LONG, "the key was not granted in time"),
+                other => panic!("unexpected status {other}"),
             }
         }
     }
@@ -156,15 +166,15 @@
 #[test]
 fn over_mutual_tls_any_limiter_serves_a_key_and_replays_it_with_one_limiter_down() {
     let mut site = Site::started(true);
-    assert_eq!(site.served(0, "one"), 1);
+    assert_eq!(site.ask_until_served(0, "one"), 1);
     for n in 0..3 {
-        assert_eq!(site.served(n, "one"), 0, "replayed at {n}");
+        assert_eq!(site.ask_until_served(n, "one"), 0, "replayed at {n}");
     }
     site.limiters[2].kill();
     // Two of three limiters are enough, whether or not limiter 2 had a copy.
-    assert_eq!(site.served(0, "two"), 1);
-    assert_eq!(site.served(1, "two"), 0);
-    assert_eq!(site.served(1, "one"), 0);
+    assert_eq!(site.ask_until_served(0, "two"), 1);
+    assert_eq!(site.ask_until_served(1, "two"), 0);
+    assert_eq!(site.ask_until_served(1, "one"), 0);
     site.limiters[1].kill();
     let (answer, attempts) = site.ask(0, "three");
     assert_eq!((answer.status(), attempts), (503, 0));
@@ -176,32 +186,33 @@
     let site = Site::prepare(true);
     damage(&site.folder.join("keys"));
     let mut command = site.limiters[0].command();
-    let ended = command
+    let output = command
         .arg("--with")
         .arg(site.file())
         .stderr(std::process::Stdio::piped())
         .output()
-        .expect("runs");
-    assert!(!ended.status.success());
-    String::from_utf8_lossy(&ended.stderr).into_owned()
+        .expect("the limiter's process starts");
+    assert!(!output.status.success());
+    String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 #[test]
-fn unusable_or_readable_key_files_are_rejected_with_the_remedy() {
-    let open = start_error(|keys| {
+fn missing_invalid_and_world_readable_key_files_stop_the_start_with_an_error_that_names_them() {
+    let readable_error = start_error(|keys| {
         let readable = std::os::unix::fs::PermissionsExt::from_mode(0o644);
-        std::fs::set_permissions(keys.join("n0.key"), readable).expect("set");
+        std::fs::set_permissions(keys.join("n0.key"), readable).expect("the file mode is set");
     });
     assert!(
-        open.contains("n0.key: others than its owner may read it; chmod 600"),
-        "{open}"
+        readable_error.contains("n0.key: others than its owner may read it; chmod 600"),
+        "{readable_error}"
     );
     let none = start_error(|keys| std::fs::write(keys.join("n0.pem"), "nothing").expect("written"));
     assert!(none.contains("n0.pem: no certificate"), "{none}");
     let short =
         start_error(|keys| std::fs::write(keys.join("fingerprint.key"), "abcd").expect("written"));
     assert!(short.contains("expected 64 hexadecimal digits"), "{short}");
-    let gone = start_error(|keys| std::fs::remove_file(keys.join("n0.key")).expect("removed"));
+    let gone =
+        start_error(|keys| std::fs::remove_file(keys.join("n0.key")).expect("the file is removed"));
     assert!(gone.contains("n0.key: No such file"), "{gone}");
 }
 
@@ -211,9 +222,15 @@
     for other_authority in [true, false] {
         let mut site = Site::prepare(true);
         let (good, bad) = (site.folder.join("keys"), site.folder.join("bad"));
-        let made = emberpin(&["link", "init", bad.to_str().expect("text"), "n2"]);
-        assert!(made.status.success());
-        std::fs::copy(good.join("fingerprint.key"), bad.join("fingerprint.key")).expect("copied");
+        let init = emberpin(&[
+            "link",
+            "init",
+            bad.to_str().expect("the folder's path is UTF-8"),
+            "n2",
+        ]);
+        assert!(init.status.success());
+        std::fs::copy(good.join("fingerprint.key"), bad.join("fingerprint.key"))
+            .expect("the file is copied");
         if !other_authority {
             // Of the right authority, but for limiter 1.
             for end in ["pem", "key"] {
@@ -221,9 +238,10 @@
                     good.join(format!("n1.{end}")),
                     bad.join(format!("n2.{end}")),
                 )
-                .expect("copied");
+                .expect("the file is copied");
             }
-            std::fs::copy(good.join("authority.pem"), bad.join("authority.pem")).expect("copied");
+            std::fs::copy(good.join("authority.pem"), bad.join("authority.pem"))
+                .expect("the file is copied");
         }
         site.start(0);
         site.configure(true, &bad);
@@ -237,7 +255,7 @@
         assert_eq!((answer.status(), attempts), (503, 0));
         site.configure(true, &good);
         site.start(1);
-        assert_eq!(site.served(0, "key"), 1);
+        assert_eq!(site.ask_until_served(0, "key"), 1);
     }
 }
 
@@ -245,24 +263,27 @@
 fn unauthorized_malformed_and_silent_connections_do_not_disturb_the_link() {
     for tls in [true, false] {
         let mut site = Site::started(tls);
-        assert_eq!(site.served(0, "before"), 1);
+        assert_eq!(site.ask_until_served(0, "before"), 1);
         let silent: Vec<TcpStream> = (0..200)
-            .map(|_| TcpStream::connect(site.links[0]).expect("connects"))
+            .map(|_| TcpStream::connect(site.links[0]).expect("the limiter accepts a connection"))
             .collect();
         for bytes in [
             &b"GET / HTTP/1.1\r\n\r\n"[..],
             &[0xff; 64],
             &[0, 0, 0, 1, 99],
         ] {
-            let mut unauthorized = TcpStream::connect(site.links[1]).expect("connects");
-            unauthorized.write_all(bytes).expect("sent");
-            unauthorized.set_read_timeout(Some(LONG)).expect("set");
+            let mut unauthorized =
+                TcpStream::connect(site.links[1]).expect("the limiter accepts a connection");
+            unauthorized.write_all(bytes).expect("the bytes are sent");
+            unauthorized
+                .set_read_timeout(Some(LONG))
+                .expect("the read time-out is set");
             // The limiter closes it, with an alert where TLS is used.
             let mut rest = Vec::new();
             _ = unauthorized.read_to_end(&mut rest);
-            assert!(rest.len() < 100, "{tls}");
+            assert!(rest.len() < 100, "TLS: {tls}");
         }
-        assert_eq!(site.served(1, "after"), 1);
+        assert_eq!(site.ask_until_served(1, "after"), 1);
         drop(silent);
     }
 }
@@ -270,13 +291,13 @@
 #[test]
 fn a_limiter_that_was_stopped_and_continued_runs_no_key_again() {
     let mut site = Site::started(false);
-    assert_eq!(site.served(0, "one"), 1);
+    assert_eq!(site.ask_until_served(0, "one"), 1);
     site.limiters[2].signal("-STOP");
-    assert_eq!(site.served(0, "two"), 1);
-    assert_eq!(site.served(1, "three"), 1);
+    assert_eq!(site.ask_until_served(0, "two"), 1);
+    assert_eq!(site.ask_until_served(1, "three"), 1);
     site.limiters[2].signal("-CONT");
     for key in ["one", "two", "three"] {
-        assert_eq!(site.served(2, key), 0, "{key}");
+        assert_eq!(site.ask_until_served(2, key), 0, "{key}");
     }
 }
 
@@ -284,12 +305,13 @@
 #[test]
 fn hundreds_of_repeats_of_one_key_through_three_limiters_run_once() {
     let mut site = Site::started(false);
-    // A limiter that has served a key reaches a majority.
+    // Waits until the links are up: a limiter serves a key only once it is connected to a majority.
     for n in 0..3 {
-        site.served(n, &format!("before-{n}"));
+        site.ask_until_served(n, &format!("before-{n}"));
     }
     let text = |id: u32| {
         let id = format!("{id}");
+        // A customer of the plan `wide`, whose rate the test does not reach; `spread=3` lets all three limiters admit it.
         let text = request("submit", &id, "wide", 30.0).replace("spread=1", "spread=3");
         text.replace(&format!("Idempotency-Key: k-{id}"), "Idempotency-Key: key")
     };
@@ -300,7 +322,7 @@
     first.answer("200 OK", "", "signed");
     let mut counts = std::collections::BTreeMap::new();
     for client in &clients {
-        let answer = Message::read(client).expect("an answer");
+        let answer = Message::read(client).expect("the response is read");
         *counts.entry(answer.status()).or_insert(0) += 1;
     }
     assert!(site.server.is_quiet(), "{counts:?}");
