--- a/crates/emberpin-registry/src/http_api/calls.rs
+++ b/crates/emberpin-registry/src/http_api/calls.rs
@@ -106,7 +106,7 @@
     ///
     /// # Errors
     ///
-    /// [`CallError`] if the request's body or query is invalid, or coordination is not enabled.
+    /// `CallError` if the request's body or query is invalid, or coordination is not enabled.
     pub async fn call(
         &self,
         route: Route,
