--- a/crates/emberpin-limiter/src/front/admission.rs
+++ b/crates/emberpin-limiter/src/front/admission.rs
@@ -19,11 +19,11 @@
 /// Maximum length of a request body, in bytes; longer than any known legitimate one. It may be that large because a
 /// streamed body needs no memory in proportion to its length.
 pub const MAX_BODY_BYTES: u64 = 256 << 20;
-/// Valid account numbers are below this one.
+/// Valid account numbers are below this number.
 const ACCOUNT_LIMIT: u64 = 1 << 33;
 
 /// The properties of a well-formed request, in the decision module's terms.
-pub struct Admitted {
+pub struct RequestProperties {
     pub id: String,
     pub class: ClassId,
     pub plan: PlanId,
@@ -40,7 +40,7 @@
 /// The checks, with the settings that they need.
 pub struct Admission {
     names: NameIndex,
-    /// For each class, whether it is safe, and its deadline.
+    /// For each class, whether its requests are safe to repeat, and its deadline.
     classes: Vec<(bool, Duration)>,
     group_size: u32,
     max_units: f64,
@@ -66,7 +66,7 @@
     }
 
     /// Returns the properties of the request, or the status that rejects it.
-    pub fn check<B: Body>(&self, request: &Request<B>) -> Result<Admitted, StatusCode> {
+    pub fn check<B: Body>(&self, request: &Request<B>) -> Result<RequestProperties, StatusCode> {
         let headers = request.headers();
         if request.body().size_hint().lower() > MAX_BODY_BYTES {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
@@ -76,7 +76,7 @@
         if request.method() != if safe { Method::GET } else { Method::POST } {
             return Err(StatusCode::METHOD_NOT_ALLOWED);
         }
-        // Servers do not read the body of a safe request: they would take it for the next request.
+        // Servers do not read the body of a safe request: they would parse its bytes as the next request.
         let valid = if safe {
             request.body().is_end_stream()
         } else {
@@ -85,7 +85,7 @@
         valid.then_some(admitted).ok_or(StatusCode::BAD_REQUEST)
     }
 
-    fn parse<B>(&self, request: &Request<B>) -> Option<Admitted> {
+    fn parse<B>(&self, request: &Request<B>) -> Option<RequestProperties> {
         let headers = request.headers();
         let host_headers = headers.get_all(header::HOST).iter().count();
         let origin_form = request.uri().authority().is_none();
@@ -108,7 +108,7 @@
             parse_seconds(only_value(headers, &REQ_DEADLINE)?)?.min(self.classes[class.0].1);
         let (units, set_size, set_first) =
             self.parse_call_terms(only_value(headers, &X_CALL_TERMS)?)?;
-        Some(Admitted {
+        Some(RequestProperties {
             id: id.into(),
             class,
             plan,
@@ -121,8 +121,8 @@
     }
 
     /// Returns the units that the request costs, and the size and first member of the set of limiters that share the
-    /// customer's quota. Units have an upper bound, as the units of every request count towards the customer's demand and
-    /// are reported to peers, whether it is admitted or not.
+    /// customer's quota. Units have an upper bound, as the units of every request count towards the customer's demand
+    /// and are reported to peers, whether it is admitted or not.
     fn parse_call_terms(&self, terms: &str) -> Option<(f64, u32, GatewayId)> {
         let (mut units, mut spread, mut first) = (None, None, None);
         for (name, value) in terms.split(',').filter_map(|pair| pair.split_once('=')) {
@@ -168,8 +168,8 @@
     Some(value).filter(|value| !value.is_empty())
 }
 
-/// Parses the account cookie into the customer id. The id is a hash that is the same at every limiter, and fits the 32 bits
-/// that gossip carries.
+/// Parses the account cookie into the customer id. The id is a hash that is the same at every limiter, and fits the 32
+/// bits that gossip carries.
 fn customer_id(cookies: &str) -> Option<CustomerId> {
     let pairs = cookies
         .split(';')
--- a/crates/emberpin-limiter/src/front/answers.rs
+++ b/crates/emberpin-limiter/src/front/answers.rs
@@ -5,8 +5,8 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
 
-/// Converts an answer into the response that its client receives. `retry_after` of a rejected request is in milliseconds;
-/// the header gives it in seconds.
+/// Converts an answer into the response that its client receives. `retry_after` of a rejected request is in
+/// milliseconds; the header gives it in seconds.
 pub fn client_response(answer: Answer) -> Response<Content> {
     match answer {
         Answer::Served(served) => {
--- a/crates/emberpin-limiter/src/front/clients.rs
+++ b/crates/emberpin-limiter/src/front/clients.rs
@@ -1,16 +1,17 @@
-//! The client side: receives requests, forwards them to the driver, and writes the one answer.
+//! The client side: receives requests, forwards them to the driver, and writes one answer to each.
 
-use crate::front::admission::{self, Admission, Admitted};
+use crate::front::admission::{self, Admission, RequestProperties};
 use crate::front::answers::{client_response, empty_response, response_with_head};
 use crate::front::connections::{ClientLimits, Connection};
 use crate::front::reception::{ClientListener, Phase, RequestHandler};
 use crate::front::socket_budget::SocketBudget;
 use crate::front::stream::{Content, StreamedContent, StreamedResponse, Upload};
 use crate::messages::{
-    AdmittedRequest, Answer, Gate, Input, Reply, RequestBody, UpstreamRequest, MAX_BODY,
+    AdmittedRequest, Answer, AttemptCheck, Input, Reply, RequestBody, UpstreamRequest,
+    MAX_BUFFERED_BODY,
 };
 use crate::operate::config::Config;
-use crate::operate::figures::{Active, LimiterMetrics, RequestOutcome};
+use crate::operate::figures::{ActiveRequest, LimiterMetrics, RequestOutcome};
 use crate::stages::idempotency::{Idempotency, KeyedRequest};
 use crate::stages::takeover::{Runner, Terms};
 use bytes::Bytes;
@@ -29,8 +30,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// How long before the client's deadline the answer must be sent. The deadline counts from the moment when the client sent
-/// the request, which is earlier than the moment when it arrived here.
+/// How long before the client's deadline the answer must be sent. The deadline counts from the moment when the client
+/// sent the request, which is earlier than the moment when it arrived here.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(20);
 /// The buffered part of a body must arrive within this time after the head: enough for 64 kB a second, with a margin.
 const BUFFERING_TIMEOUT: Duration = Duration::from_secs(3);
@@ -44,7 +45,7 @@
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long a streamed response waits for a download slot.
 const DOWNLOAD_SLOT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Headers that concern one connection only, or that are written anew.
+/// Headers that concern only one connection, or that are written anew for the next one.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -67,14 +68,14 @@
     in_flight: RefCell<HashSet<String>>,
     pub client_listener: Rc<ClientListener>,
     /// Slots for streamed request bodies.
-    uploads: Arc<Semaphore>,
+    upload_slots: Arc<Semaphore>,
     /// Slots for streamed responses.
-    downloads: Arc<Semaphore>,
+    download_slots: Arc<Semaphore>,
     metrics: Arc<LimiterMetrics>,
 }
 
-/// A request in flight. If it is dropped before it has been answered, for example because its client disconnects, it
-/// notifies the driver.
+/// A request in flight. If this value is dropped before the request has been answered, for example because its client
+/// disconnects, the driver is notified.
 struct PendingRequest {
     frontend: Rc<ClientFrontend>,
     /// The id that the client gave the request.
@@ -89,11 +90,11 @@
         if self.answered {
             return;
         }
-        if let Err(mpsc::error::TrySendError::Full(notice)) =
+        if let Err(mpsc::error::TrySendError::Full(message)) =
             self.frontend.inputs.try_send(Input::ClientGone(self.id))
         {
             let inputs = self.frontend.inputs.clone();
-            spawn_local(async move { _ = inputs.send(notice).await });
+            spawn_local(async move { _ = inputs.send(message).await });
         }
     }
 }
@@ -145,8 +146,8 @@
                 ClientLimits::default(),
                 socket_budget,
             ),
-            uploads: Arc::new(Semaphore::new(config.max_streamed_bodies)),
-            downloads: Arc::new(Semaphore::new(config.max_streamed_bodies)),
+            upload_slots: Arc::new(Semaphore::new(config.max_streamed_bodies)),
+            download_slots: Arc::new(Semaphore::new(config.max_streamed_bodies)),
             metrics,
         })
     }
@@ -157,7 +158,8 @@
         request: Request<Incoming>,
         connection: &Rc<Connection>,
     ) -> Result<Response<Content>, StatusCode> {
-        // Of two contradicting framings a server could follow the other one, and read a request hidden in the body.
+        // Request smuggling: a server that follows the other of two contradicting framings could read a request that is
+        // hidden in the body.
         if connection.has_ambiguous_framing() {
             return Err(StatusCode::BAD_REQUEST);
         }
@@ -169,7 +171,8 @@
         } else {
             buffer_body_start(body).await?
         };
-        // The idempotency stage compares whole bodies, so with it enabled, a body that does not fit the buffer is rejected.
+        // The idempotency stage compares whole bodies, so with it enabled, a body that does not fit the buffer is
+        // rejected.
         let rest = match rest {
             Some(rest) if self.idempotency.is_some() => {
                 spawn_local(discard_body(rest));
@@ -182,13 +185,13 @@
             .time_limit
             .saturating_sub(RESPONSE_MARGIN)
             .max(admitted.time_limit / 2);
-        let mut active = self.metrics.start_request(admitted.class);
+        let mut active_request = self.metrics.start_request(admitted.class);
         let (body, expires) = match rest {
             None => (RequestBody::Buffered(buffered), Instant::now() + time_limit),
             Some(rest) => {
-                let Ok(buffer_permit) = self.uploads.clone().try_acquire_owned() else {
+                let Ok(buffer_permit) = self.upload_slots.clone().try_acquire_owned() else {
                     spawn_local(discard_body(rest));
-                    active.set_outcome(RequestOutcome::Shed);
+                    active_request.set_outcome(RequestOutcome::Shed);
                     return Err(StatusCode::SERVICE_UNAVAILABLE);
                 };
                 let upload = Rc::new(Upload::new(buffered, length, rest, buffer_permit));
@@ -205,7 +208,7 @@
             body,
             may_stream: self.idempotency.is_none(),
             max_idle_time: None,
-            gate: None,
+            attempt_check: None,
             withdrawn: Default::default(),
         };
         let reply = self.forward(admitted, outgoing, time_limit, expires).await;
@@ -215,14 +218,14 @@
             Ok(ClientReply::Streamed(streamed)) => {
                 match timeout(
                     DOWNLOAD_SLOT_TIMEOUT,
-                    self.downloads.clone().acquire_owned(),
+                    self.download_slots.clone().acquire_owned(),
                 )
                 .await
                 {
                     Ok(Ok(buffer_permit)) => {
                         return Ok(streamed_response(
                             streamed,
-                            active,
+                            active_request,
                             connection.clone(),
                             buffer_permit,
                         ))
@@ -235,14 +238,14 @@
         let status = response
             .as_ref()
             .map_or_else(|status| *status, Response::status);
-        active.set_outcome(outcome_for(status));
+        active_request.set_outcome(outcome_for(status));
         response
     }
 
     /// Forwards an admitted request, and waits for its answer.
     async fn forward(
         self: &Rc<Self>,
-        admitted: Admitted,
+        admitted: RequestProperties,
         mut outgoing: UpstreamRequest,
         time_limit: Duration,
         expires: Instant,
@@ -253,13 +256,13 @@
         }
         let pending = self.open_request(admitted.id);
         remove_hop_by_hop_headers(&mut outgoing.headers);
-        // The key of a request that is safe to repeat is ignored.
-        let keyed = outgoing.method == Method::POST
+        // Only the key of a POST counts: all other admitted requests are safe to repeat.
+        let has_key = outgoing.method == Method::POST
             && admission::idempotency_key(&outgoing.headers).is_some();
-        let stage = self.idempotency.as_ref().filter(|_| keyed);
+        let stage = self.idempotency.as_ref().filter(|_| has_key);
         let takeover = stage.and_then(|stage| stage.takeover());
         let gate = takeover.map(|takeover| takeover.gate(admitted.class, expires));
-        outgoing.gate = gate.clone().map(|gate| gate as Rc<dyn Gate>);
+        outgoing.attempt_check = gate.clone().map(|gate| gate as Rc<dyn AttemptCheck>);
         let terms = Terms {
             class: admitted.class,
             plan: admitted.plan,
@@ -270,7 +273,7 @@
         };
         let (reply_to, reply) = oneshot::channel();
         let outgoing = Rc::new(outgoing);
-        let call = AdmittedRequest {
+        let request = AdmittedRequest {
             id: pending.id,
             class: admitted.class,
             plan: admitted.plan,
@@ -284,7 +287,7 @@
             outgoing: outgoing.clone(),
             reply_to,
         };
-        let exchange = send_to_driver(pending, call, reply);
+        let exchange = send_to_driver(pending, request, reply);
         let body = match &outgoing.body {
             RequestBody::Buffered(body) => body,
             RequestBody::Uploading(upload) => {
@@ -313,7 +316,7 @@
         Ok(exchange.await.into())
     }
 
-    /// Registers a request as in flight until the returned guard is dropped.
+    /// Assigns an id to a request in flight. The request counts as in flight until the returned guard is dropped.
     fn open_request(self: &Rc<Self>, client_id: String) -> PendingRequest {
         let id = RequestId(
             self.next_id
@@ -344,8 +347,8 @@
         reply = exchange => reply,
         () = client_idle => return Err(StatusCode::REQUEST_TIMEOUT),
     };
-    // The answer came before all of the body: the rest is discarded, as closing a connection with unread bytes on it could
-    // lose the answer.
+    // The answer came before all of the body: the rest is discarded, as closing a connection with unread bytes on it
+    // could lose the answer.
     if let Some(rest) = upload.take_rest() {
         spawn_local(discard_body(rest));
     }
@@ -376,8 +379,8 @@
     }
 }
 
-/// Buffers a body up to the buffer limit, `MAX_BODY`. Returns the buffered bytes, and the stream of the remaining bytes
-/// if the body is longer than that.
+/// Buffers a body up to the buffer limit, `MAX_BUFFERED_BODY`. Returns the buffered bytes, and the stream of the
+/// remaining bytes if the body is longer than that.
 ///
 /// # Errors
 ///
@@ -389,7 +392,7 @@
     let mut chunks: Vec<Bytes> = Vec::new();
     let mut size = 0;
     let mut ended = false;
-    while size <= MAX_BODY && !ended {
+    while size <= MAX_BUFFERED_BODY && !ended {
         let frame = timeout_at(deadline, body.frame())
             .await
             .map_err(|_| StatusCode::REQUEST_TIMEOUT)?;
@@ -422,7 +425,7 @@
 /// Builds the response to a client from a streamed response of a server.
 pub fn streamed_response(
     mut response: StreamedResponse,
-    active: Active,
+    active_request: ActiveRequest,
     connection: Rc<Connection>,
     buffer_permit: OwnedSemaphorePermit,
 ) -> Response<Content> {
@@ -431,7 +434,7 @@
         head,
         Content::Streamed(Box::new(StreamedContent {
             response,
-            active,
+            active_request,
             connection,
             _buffer_permit: buffer_permit,
         })),
@@ -451,7 +454,7 @@
         Box::pin(async move {
             let (reply_to, reply) = oneshot::channel();
             let terms = work.terms;
-            let call = AdmittedRequest {
+            let request = AdmittedRequest {
                 id,
                 class: terms.class,
                 plan: terms.plan,
@@ -465,7 +468,7 @@
                 outgoing: Rc::new(work.outgoing),
                 reply_to,
             };
-            match inputs.send(Input::Request(call)).await {
+            match inputs.send(Input::Request(request)).await {
                 Ok(()) => match reply.await {
                     Ok(Reply::Answer(answer)) => answer,
                     Ok(Reply::Streamed(_)) | Err(_) => Answer::Failed,
@@ -479,10 +482,10 @@
 /// Forwards a request to the driver, and waits for the one reply.
 async fn send_to_driver(
     mut pending: PendingRequest,
-    call: AdmittedRequest,
+    request: AdmittedRequest,
     reply: oneshot::Receiver<Reply>,
 ) -> Reply {
-    let reply = match pending.frontend.inputs.send(Input::Request(call)).await {
+    let reply = match pending.frontend.inputs.send(Input::Request(request)).await {
         Ok(()) => reply.await.unwrap_or(Reply::Answer(Answer::Failed)),
         Err(_) => Reply::Answer(Answer::Failed),
     };
@@ -490,8 +493,8 @@
     reply
 }
 
-/// Removes the hop-by-hop headers: the well-known ones, and those that `Connection` names. The headers that decide how a
-/// request is handled stay, even if `Connection` names them.
+/// Removes the hop-by-hop headers: the well-known ones, and those that `Connection` names. The headers that decide how
+/// a request is handled stay, even if `Connection` names them.
 pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named = headers
         .get_all(header::CONNECTION)
--- a/crates/emberpin-limiter/src/front/connections.rs
+++ b/crates/emberpin-limiter/src/front/connections.rs
@@ -1,5 +1,5 @@
-//! Clients' connections: their number, the state of each and since when it has been in it, and which ones must be closed
-//! because they are overdue or because slots are scarce.
+//! Clients' connections: their number, the state of each and how long it has lasted, and which connections must be
+//! closed because they are overdue or because slots are scarce.
 
 use crate::front::framing::Framing;
 use crate::front::socket_budget::SocketBudget;
@@ -15,11 +15,11 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
-/// Limits on how long a client may keep a connection waiting.
+/// Limits on how long a client may keep a connection waiting, and on the size of a head.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientLimits {
-    /// Time limits for a head, counted from its first byte: after the first one, a head that has stopped growing ends the
-    /// connection; after the second one, any incomplete head does.
+    /// Time limits for a head, counted from its first byte: after the first one, a head that has stopped growing ends
+    /// the connection; after the second one, any incomplete head does.
     pub head: (Duration, Duration),
     /// The first request on a connection must begin within this time.
     pub first_request: Duration,
@@ -45,16 +45,16 @@
     }
 }
 
-/// If less than one in this many slots is free, a connection is closed after its first response. Idle connections are not
-/// closed before their time-out, so many clients that send one request and stay connected would fill the slots faster than
-/// slots become free.
+/// If less than one in this many slots is free, a connection is closed after its first response. Idle connections are
+/// not closed before their time-out, so many clients that send one request and stay connected would fill the slots
+/// faster than slots become free.
 const CROWDED_FRACTION: usize = 8;
 /// With at most this many free slots, slots are scarce: waiting connections are closed to make room for new ones.
 const MIN_FREE_SLOTS: usize = 8;
 /// While slots are scarce, a connection that has sent no request may be closed after this time.
 const SCARCE_FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
-/// While slots are scarce, a connection whose head has stopped growing may be closed after this time. It is longer than the
-/// time for a first request because slow clients pause between chunks.
+/// While slots are scarce, a connection whose head has stopped growing may be closed after this time. It is longer than
+/// the time for a first request because slow clients pause between chunks.
 const SCARCE_HEAD_STALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// While slots are scarce, a connection that is idle after a response may be closed after this time.
 const SCARCE_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -86,9 +86,10 @@
     /// Number of requests received.
     requests: Cell<u64>,
     framing: RefCell<Framing>,
-    /// A response broke off. The end of the connection must not look like the end of that response, so it is reset.
+    /// A response broke off. The connection is reset when it is dropped, as a regular close could look like the end of
+    /// that response.
     response_truncated: Cell<bool>,
-    /// It was notified to close.
+    /// The connection has been notified to close.
     closing: Cell<bool>,
     close_notify: Notify,
 }
@@ -115,8 +116,8 @@
         self.requests.get() == 1
     }
 
-    /// Whether a request may be under way: part of its head has arrived, or the connection is so new that its first request
-    /// may still be on the network.
+    /// Whether a request may be under way: part of its head has arrived, or the connection is so new that its first
+    /// request may still be on the network.
     pub fn may_have_request_under_way(&self) -> bool {
         match self.stage.get() {
             Stage::Head => true,
@@ -136,7 +137,8 @@
         self.since.set(Instant::now());
     }
 
-    /// Returns when the connection must be closed. A request whose head became complete at the last moment prevents that.
+    /// Returns when the connection must be closed. If the head of a request became complete at the last moment, the
+    /// connection stays open.
     pub async fn closing_due(&self) {
         loop {
             self.close_notify.notified().await;
@@ -152,8 +154,8 @@
         self.close_notify.notify_one();
     }
 
-    /// Whether a time limit is exceeded, which guards against silent connections and endless heads. A connection that has
-    /// had a response may stay idle unless `limits.idle` is set.
+    /// Whether a time limit is exceeded, which guards against silent connections and endless heads. A connection that
+    /// has had a response may stay idle unless `limits.idle` is set.
     fn is_overdue(&self, limits: &ClientLimits) -> bool {
         let waiting = self.since.get().elapsed();
         let (stalled_limit, total_limit) = limits.head;
@@ -169,8 +171,8 @@
         }
     }
 
-    /// How long the connection has waited, as a multiple of the time allowed while slots are scarce; `None` below 1. The time
-    /// for a head counts from its last byte, as a head that still grows belongs to a slow client.
+    /// How long the connection has waited, as a multiple of the time allowed while slots are scarce; `None` below 1.
+    /// The time for a head counts from its last byte, as a head that still grows belongs to a slow client.
     fn scarcity_excess(&self) -> Option<f64> {
         let (since, allowed) = match (self.stage.get(), self.has_requested()) {
             (Stage::Head, _) => (self.head_progress.get(), SCARCE_HEAD_STALL_TIMEOUT),
@@ -226,8 +228,8 @@
             .max(MIN_CONNECTIONS)
     }
 
-    /// Occupies a slot until the returned value is dropped. Callers must wait for [`Self::free_slot`] first.
-    pub fn enter(self: &Rc<Self>) -> ConnectionSlot {
+    /// Occupies a slot until the returned value is dropped. Callers must wait for [`Self::slot_available`] first.
+    pub fn occupy_slot(self: &Rc<Self>) -> ConnectionSlot {
         let connection = Rc::new(Connection {
             stage: Cell::new(Stage::Idle),
             since: Cell::new(Instant::now()),
@@ -252,9 +254,9 @@
         *self.count.borrow() + self.max_connections() / CROWDED_FRACTION >= self.max_connections()
     }
 
-    /// Returns once a slot is free. Enforces the limit on descriptors, and keeps slots available to new clients: with few
-    /// free slots, it closes the connection that has waited longest in proportion to its allowed time.
-    pub async fn free_slot(&self) {
+    /// Returns once a slot is free. Enforces the limit on descriptors, and keeps slots available to new clients: with
+    /// few free slots, it closes the connection that has waited longest in proportion to its allowed time.
+    pub async fn slot_available(&self) {
         loop {
             let count = *self.count.borrow();
             if count + MIN_FREE_SLOTS >= self.max_connections() {
@@ -269,7 +271,8 @@
             if count < self.max_connections() {
                 return;
             }
-            // Until then a connection has closed, or another one has waited long enough to be closed.
+            // Checks again once a connection has closed, or after a pause in which another one may have become
+            // closable.
             let closed = async { _ = self.count.subscribe().wait_for(|now| *now < count).await };
             _ = tokio::time::timeout(SWEEP_INTERVAL / 10, closed).await;
         }
@@ -323,8 +326,8 @@
 
 impl Drop for ObservedStream {
     fn drop(&mut self) {
-        // A client that was given no length would take the end of the connection for the end of the response, so the
-        // connection is reset instead.
+        // A client that was given no length would take a regular close for the end of the response, so the connection
+        // is reset instead.
         if self.connection.response_truncated.get() {
             _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
         }
--- a/crates/emberpin-limiter/src/front/framing.rs
+++ b/crates/emberpin-limiter/src/front/framing.rs
@@ -1,9 +1,9 @@
 //! Detects requests with contradicting framings, which allow request smuggling. No I/O.
 //!
-//! If a head has both a `Content-Length` and a `Transfer-Encoding`, the HTTP library follows one of them (RFC 9112, 6.3)
-//! and hides the other from its users. A proxy in front of this limiter or a server behind it may follow the other one, and
-//! read a request that is hidden in a body. So this module parses the received bytes as well, as far as it takes to find
-//! the end of each request and such heads.
+//! If a head has both a `Content-Length` and a `Transfer-Encoding`, the HTTP library follows one of them (RFC 9112,
+//! 6.3) and hides the other from its users. A proxy in front of this limiter or a server behind it may follow the other
+//! one, and read a request that is hidden in a body. So this module also parses the received bytes, just enough to find
+//! the end of each request and to detect such heads.
 
 /// Number of bytes of a line that are examined: the header names and numbers that matter are shorter.
 const EXAMINED_BYTES: usize = 64;
@@ -33,6 +33,7 @@
     length: Option<u64>,
     /// Whether the current head has a `Transfer-Encoding`.
     chunked: bool,
+    /// Whether any head so far was ambiguous; see [`Framing::is_ambiguous`].
     ambiguous: bool,
 }
 
--- a/crates/emberpin-limiter/src/front/inherited_socket.rs
+++ b/crates/emberpin-limiter/src/front/inherited_socket.rs
@@ -8,8 +8,8 @@
 /// The lowest descriptor that may be named; those below are standard input, output and error.
 const MIN_DESCRIPTOR: u32 = 3;
 
-/// Returns the inherited socket, if the environment names one. Must be called only once, and before other threads start,
-/// as it changes environment variables.
+/// Returns the inherited socket, if the environment names one. Must be called only once, and before other threads
+/// start, as it changes environment variables.
 ///
 /// # Errors
 ///
@@ -23,12 +23,12 @@
     let number: u32 = named
         .trim()
         .parse()
-        .map_err(|_| error("expected the number of a descriptor, as 5"))?;
+        .map_err(|_| error("expected the number of a descriptor, such as 5"))?;
     if number < MIN_DESCRIPTOR {
         return Err(error("expected the number of a descriptor from 3 on"));
     }
-    // The library reads descriptors by systemd's socket activation protocol: one descriptor, from this number on, for this
-    // process. It checks that the descriptor is a socket.
+    // The library reads descriptors by systemd's socket activation protocol: one descriptor, from this number on, for
+    // this process. It checks that the descriptor is a socket.
     for (name, value) in [
         ("LISTEN_FDS", "1".to_string()),
         ("LISTEN_FDS_FIRST_FD", number.to_string()),
--- a/crates/emberpin-limiter/src/front/reception.rs
+++ b/crates/emberpin-limiter/src/front/reception.rs
@@ -25,8 +25,8 @@
 /// While the listener closes, how often a connection with a partly received request is checked again.
 const PENDING_REQUEST_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-#[derive(Clone, Copy, PartialEq)]
 /// The phase of a client listener, from its start to its shutdown.
+#[derive(Clone, Copy, PartialEq)]
 pub enum Phase {
     /// Not ready yet, but answers requests that arrive.
     Starting,
@@ -103,8 +103,8 @@
         self.connections.all_closed().await;
     }
 
-    /// Accepts connections until [`Self::begin_closing`]; or, if `shared` (other processes listen on the same socket), only until
-    /// [`Self::begin_draining`], as the other processes accept the later connections.
+    /// Accepts connections until [`Self::begin_closing`]. If `shared`, other processes listen on the same socket and
+    /// accept the later connections, so this one stops accepting at [`Self::begin_draining`].
     pub async fn accept<D: RequestHandler>(
         self: Rc<Self>,
         handler: Rc<D>,
@@ -114,7 +114,7 @@
         spawn_local(self.connections.clone().sweep());
         let mut phase = self.phase.subscribe();
         loop {
-            self.connections.free_slot().await;
+            self.connections.slot_available().await;
             let accepted = tokio::select! {
                 biased;
                 accepted = listener.accept() => accepted,
@@ -122,7 +122,7 @@
             };
             match accepted {
                 Ok((stream, _)) => {
-                    let slot = self.connections.enter();
+                    let slot = self.connections.occupy_slot();
                     drop(spawn_local(self.clone().serve_connection(
                         handler.clone(),
                         stream,
@@ -132,8 +132,8 @@
                 Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
             }
         }
-        // `select!` is biased, so the backlog is empty when the listener closes: every connection that the operating system
-        // had completed was accepted above.
+        // `select!` is biased, so the backlog is empty when the listener closes: every connection that the operating
+        // system had completed was accepted above.
         drop(listener);
         std::future::pending::<()>().await;
     }
@@ -151,8 +151,8 @@
                 (self.clone(), handler.clone(), slot.connection.clone());
             async move {
                 let mut response = client_listener.respond(handler, request, &connection).await;
-                // The limit on heads has been raised since this connection was accepted, and it would reject heads that are
-                // allowed now.
+                // The limit on heads has been raised since this connection was accepted: on this connection, heads that
+                // are allowed now would still be rejected.
                 if max_head_bytes < client_listener.connections.limits().max_head_bytes {
                     response
                         .headers_mut()
--- a/crates/emberpin-limiter/src/front/socket_budget.rs
+++ b/crates/emberpin-limiter/src/front/socket_budget.rs
@@ -1,14 +1,14 @@
-//! The number of sockets that this process may open while a sibling process of the same limiter runs, during an upgrade:
-//! all descriptors of the platform's limit that the sibling does not use. No I/O.
+//! The number of sockets that this process may open while a sibling process of the same limiter runs, during an
+//! upgrade: all descriptors of the platform's limit that the sibling does not use. No I/O.
 //!
-//! A fixed half for each process would not do: the old process, which drains, uses ever fewer sockets, and all its clients
-//! reconnect to the new one at once.
+//! A fixed half for each process would not do: the old process, which drains, uses ever fewer sockets, and all its
+//! clients reconnect to the new one at once.
 
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
 use tokio::sync::watch;
 
-/// Descriptors that the sibling has open beside its connections: those of its runtime, and of its operator API.
+/// Descriptors that the sibling has open in addition to its connections: those of its runtime and of its operator API.
 const OVERHEAD: usize = 28;
 
 /// Connections that a process has open.
@@ -60,14 +60,14 @@
             .send_if_modified(|known| std::mem::replace(known, sibling) != sibling);
     }
 
-    /// Sockets to clients that this process must leave to the sibling.
+    /// Number of sockets to clients that this process must leave to the sibling.
     pub fn sibling_clients(&self) -> usize {
         self.sibling
             .borrow()
             .map_or(0, |sibling| sibling.clients + OVERHEAD)
     }
 
-    /// Sockets to servers that this process must leave to the sibling.
+    /// Number of sockets to servers that this process must leave to the sibling.
     pub fn sibling_servers(&self) -> usize {
         self.sibling
             .borrow()
--- a/crates/emberpin-limiter/src/front/stream.rs
+++ b/crates/emberpin-limiter/src/front/stream.rs
@@ -3,7 +3,7 @@
 
 use crate::front::connections::Connection;
 use crate::messages::ResponseHead;
-use crate::operate::figures::{Active, RequestOutcome};
+use crate::operate::figures::{ActiveRequest, RequestOutcome};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::{Cell, RefCell};
@@ -26,8 +26,8 @@
 
 impl std::error::Error for BodyInterrupted {}
 
-/// A client's body that is streamed to a server while the client sends it. Its beginning is buffered, so that an attempt
-/// that failed before any later chunk was handed to it can be retried.
+/// A client's body that is streamed to a server while the client sends it. Its beginning is buffered, so that an
+/// attempt that failed before any later chunk was handed to it can be retried.
 pub struct Upload {
     /// The buffered beginning of the body.
     pub buffered: Bytes,
@@ -210,10 +210,10 @@
     fn poll_next(&mut self, context: &mut Context) -> Poll<Option<Result<Bytes, BodyInterrupted>>>;
 }
 
-/// A streamed response on its way to its client, with the records to update when it ends.
+/// A streamed response that is being sent to its client, with the metrics and the connection to update when it ends.
 pub struct StreamedContent {
     pub response: StreamedResponse,
-    pub active: Active,
+    pub active_request: ActiveRequest,
     pub connection: Rc<Connection>,
     /// Its share of the process's budget for buffers.
     pub _buffer_permit: OwnedSemaphorePermit,
@@ -243,9 +243,9 @@
             Content::Streamed(streamed) => {
                 let next = streamed.response.stream.poll_next(context);
                 match &next {
-                    Poll::Ready(None) => streamed.active.set_outcome(RequestOutcome::Ok),
+                    Poll::Ready(None) => streamed.active_request.set_outcome(RequestOutcome::Ok),
                     Poll::Ready(Some(Err(BodyInterrupted))) => {
-                        streamed.active.set_outcome(RequestOutcome::Errors);
+                        streamed.active_request.set_outcome(RequestOutcome::Errors);
                         streamed.connection.truncate_response();
                     }
                     Poll::Ready(Some(Ok(_))) | Poll::Pending => {}
--- a/crates/emberpin-limiter/src/host.rs
+++ b/crates/emberpin-limiter/src/host.rs
@@ -1,6 +1,5 @@
-//! The building blocks that another program (the proxy) reuses to run its own decisions on the same kind of sockets: the
-//! client listener, the pool of connections to servers, the engine that drives a decision module, and the types that
-//! they share.
+//! The parts of the limiter that another program, the proxy, is built from as well: the client listener, the pool of
+//! connections to servers, the engine that drives a decision module, and the types that they share.
 
 pub use crate::front::answers::{client_response, empty_response, response_with_head};
 pub use crate::front::clients::{
@@ -15,7 +14,7 @@
     UpstreamRequest,
 };
 pub use crate::operate::clock::Clock;
-pub use crate::operate::figures::{Active, LimiterMetrics, RequestOutcome};
+pub use crate::operate::figures::{ActiveRequest, LimiterMetrics, RequestOutcome};
 pub use crate::upstream::engine::{Engine, OverdueAttempts, SentAttempt, TimerGrid};
 pub use crate::upstream::roster::ServerInstance;
 pub use crate::upstream::server::{Pool, PoolLimits, Upstream};
--- a/crates/emberpin-limiter/src/messages.rs
+++ b/crates/emberpin-limiter/src/messages.rs
@@ -20,12 +20,13 @@
 use tokio::time::Instant;
 
 /// Bodies of up to this many bytes are buffered; longer ones are streamed.
-pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
 
-/// Decides before each attempt of a request whether it may be sent. Used where another limiter may take the request over.
-pub trait Gate {
-    /// Whether the attempt of this number may go to a server of this zone and cell. Decided within `within`, the time that
-    /// the attempt has.
+/// Decides before each attempt of a request whether it may be sent. Used where another limiter may take the request
+/// over.
+pub trait AttemptCheck {
+    /// Whether the attempt with this number may be sent to a server in this zone and cell. The decision takes at most
+    /// `within`, the time limit of the attempt.
     fn allows<'a>(
         &'a self,
         attempt: u32,
@@ -41,18 +42,19 @@
     pub method: Method,
     /// As the client sent it.
     pub uri: Uri,
-    /// Without those that concern only the client's connection.
+    /// The headers, without those that concern only the client's connection.
     pub headers: HeaderMap,
     /// The body, complete or still being uploaded.
     pub body: RequestBody,
     /// A response that is too long to buffer may be streamed; otherwise it counts as an error.
     pub may_stream: bool,
-    /// The request is sent on no connection that has been idle for longer: the server may just have closed it, and the
-    /// request would count as one that may have run. `None` for no bound.
+    /// The request is not sent on a connection that has been idle for longer: the server may have closed it already,
+    /// and the request would then count as one that may have run. `None` for no limit.
     pub max_idle_time: Option<Duration>,
-    /// Asked before each attempt; `None` where no other limiter can take the request over.
-    pub gate: Option<Rc<dyn Gate>>,
-    /// Set once the sender has withdrawn the request: an attempt of which nothing is written yet ends as not sent.
+    /// Asked before each attempt whether it may be sent; `None` where no other limiter can take the request over.
+    pub attempt_check: Option<Rc<dyn AttemptCheck>>,
+    /// Set while the request must not be sent to the servers chosen for it, as its route no longer leads to them: an
+    /// attempt of which nothing has been written yet ends as not sent.
     pub withdrawn: Cell<bool>,
 }
 
@@ -93,7 +95,7 @@
 }
 
 impl ResponseHead {
-    /// The head of a good response of which only the content type is forwarded.
+    /// The head of a 200 response whose only header is its content type.
     pub fn of_type(content_type: Option<HeaderValue>) -> ResponseHead {
         let headers = content_type
             .map(|value| (CONTENT_TYPE, value))
@@ -115,8 +117,8 @@
     pub body: Bytes,
 }
 
-/// How an attempt or a health check ended. Unless the response is streamed, its connection is closed or back in the pool
-/// by then.
+/// How an attempt or a health check ended. Unless the response is streamed, its connection is closed or back in the
+/// pool by then.
 pub struct AttemptEnd {
     /// The outcome as the decision module classifies it.
     pub outcome: Outcome,
@@ -128,7 +130,7 @@
     pub metered: Option<f64>,
     /// The response, if the outcome is [`Outcome::Ok`].
     pub response: Option<Reply>,
-    /// A response that is not good but that the client may receive, if no other attempt brings a better one.
+    /// A response that reports an error; the client may receive it, if no other attempt brings a better one.
     pub error_response: Option<Reply>,
     /// Another server answered than the one that the attempt was addressed to.
     pub misdirected: bool,
@@ -176,7 +178,7 @@
     pub ran: Option<PriorAttempt>,
     /// How long the decision module may take, counted from the last byte of the request.
     pub time_limit: Duration,
-    /// When the last byte of its answer must be out; far in the future while its body is uploaded.
+    /// When the last byte of its answer must have been sent; far in the future while its body is uploaded.
     pub expires: Instant,
     /// What is forwarded to a server.
     pub outgoing: Rc<UpstreamRequest>,
--- a/crates/emberpin-limiter/src/operate/clock.rs
+++ b/crates/emberpin-limiter/src/operate/clock.rs
@@ -4,9 +4,9 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// A clock that starts at Unix time in milliseconds and is monotonic from then on. All limiters share its scale, and it
-/// grows over restarts, as incarnations are told apart by it; a step of the wall clock while the process runs does not
-/// affect it.
+/// A clock that starts at Unix time in milliseconds and is monotonic from then on. Its values are comparable between
+/// limiters, and grow over restarts, so that they tell the incarnations of a limiter apart. A step of the wall clock
+/// while the process runs does not affect it.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
--- a/crates/emberpin-limiter/src/operate/command.rs
+++ b/crates/emberpin-limiter/src/operate/command.rs
@@ -34,19 +34,19 @@
     /// The link between limiters
     Link {
         #[command(subcommand)]
-        what: LinkCommand,
+        command: LinkCommand,
     },
     /// The log that keeps the state of keyed requests over restarts of the limiter
     Log {
         #[command(subcommand)]
-        what: LogCommand,
+        command: LogCommand,
     },
 }
 
 #[derive(Subcommand)]
 enum LinkCommand {
-    /// Create a private certificate authority, a certificate for each instance and the secret for fingerprints, in a new
-    /// folder
+    /// Create a private certificate authority, a certificate for each instance and the secret for fingerprints, in a
+    /// new folder
     Init {
         /// The folder to create
         folder: PathBuf,
@@ -70,7 +70,8 @@
     },
 }
 
-/// Runs the program with these arguments, of which the first is the program's name. Returns when the limiter has stopped.
+/// Runs the program with these arguments, of which the first is the program's name. Returns when the limiter has
+/// stopped.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let line = match Arguments::try_parse_from(arguments) {
         Ok(line) => line,
@@ -87,18 +88,18 @@
         None => run(&line.with),
         Some(Command::Check) => check(&line.with),
         Some(Command::Link {
-            what: LinkCommand::Init { folder, members },
-        }) => create_keys(&folder, &members),
+            command: LinkCommand::Init { folder, members },
+        }) => init_link(&folder, &members),
         Some(Command::Log {
-            what: LogCommand::Init,
-        }) => begin_log(&line.with),
+            command: LogCommand::Init,
+        }) => init_log(&line.with),
         Some(Command::Log {
-            what: LogCommand::Inspect { path, json },
+            command: LogCommand::Inspect { path, json },
         }) => inspect_log(&path, json),
     }
 }
 
-fn create_keys(folder: &Path, members: &[String]) -> ExitCode {
+fn init_link(folder: &Path, members: &[String]) -> ExitCode {
     match key_log::random().and_then(|secret| tls::init(folder, members, secret)) {
         Ok(()) => {
             println!(
@@ -115,7 +116,7 @@
     }
 }
 
-fn begin_log(with: &[PathBuf]) -> ExitCode {
+fn init_log(with: &[PathBuf]) -> ExitCode {
     let config = OperatorSettings::read(with).and_then(|operator| Config::from_env(&operator));
     match config.and_then(|config| key_log::begin(&config)) {
         Ok(done) => {
--- a/crates/emberpin-limiter/src/operate/config.rs
+++ b/crates/emberpin-limiter/src/operate/config.rs
@@ -1,6 +1,6 @@
 //! The configuration that `GW_CONFIG` names, checked and in the program's own types.
 
-use crate::messages::MAX_BODY;
+use crate::messages::MAX_BUFFERED_BODY;
 use crate::operate::operator::{Connections, Idempotency, Link, Log, OperatorSettings};
 use crate::operate::operator_api;
 use crate::operate::start::Start;
@@ -24,10 +24,11 @@
 const MIN_MEMORY_MIB: u64 = 16;
 /// The memory that one streamed body may use, in bytes: its buffered beginning, and buffers on both sides.
 const STREAMED_BODY_BYTES: u64 = 112 << 10;
-/// The streamed bodies of each direction may use one in this many parts of the memory, so that small requests always have
-/// the rest.
+/// The streamed bodies of each direction may together use one n-th of the memory, where n is this number, so that small
+/// requests always have the rest.
 const STREAMED_BODIES_FRACTION: u64 = 4;
-/// The environment variable that names the operators' address, where the platform's file does not.
+/// The environment variable with the address of the operators' HTTP interface, where the platform's file does not state
+/// it.
 pub const OPS_VARIABLE: &str = "GW_OPS";
 /// The environment variable that names the platform's file.
 pub const PLATFORM_FILE: &str = "GW_CONFIG";
@@ -36,10 +37,14 @@
 pub struct Config {
     pub(crate) name: String,
     pub(crate) listen: SocketAddr,
+    /// The address of the service that provides the endpoint list.
     pub(crate) discovery: SocketAddr,
     pub(crate) seed: u64,
+    /// The address at which datagrams from peers are received.
     pub(crate) peer_listen: Option<SocketAddr>,
+    /// The addresses of the peers, indexed by their ids.
     pub(crate) peers: Vec<SocketAddr>,
+    /// The address for datagrams to all peers.
     pub(crate) peers_all: Option<SocketAddr>,
     /// The address of the operators' HTTP interface.
     pub(crate) ops: Option<SocketAddr>,
@@ -112,7 +117,7 @@
         if let (None, Some(ops)) = (file.ops, std::env::var_os(OPS_VARIABLE)) {
             let ops = ops.to_string_lossy();
             let at = ops.parse().map_err(|e| {
-                format!("{OPS_VARIABLE} '{ops}': {e}; expected an address as 10.0.0.4:9000")
+                format!("{OPS_VARIABLE} '{ops}': {e}; expected an address such as 10.0.0.4:9000")
             })?;
             file.ops = Some(at);
         }
@@ -134,7 +139,7 @@
             max_idle_per_server: self.connections.idle_per_server,
             sockets: self.server_sockets,
             unacknowledged: None,
-            buffered_response_bytes: MAX_BODY,
+            buffered_response_bytes: MAX_BUFFERED_BODY,
         }
     }
 
--- a/crates/emberpin-limiter/src/operate/crash_points.rs
+++ b/crates/emberpin-limiter/src/operate/crash_points.rs
@@ -1,11 +1,12 @@
-//! Crash points for tests of the state that a kill leaves behind: `EMBERPIN_DIE_AT=POINT:N` aborts the process when that
-//! point is reached for the Nth time, and `EMBERPIN_STOP_AT=POINT:N` stops it there until it is continued or killed. Only
-//! in builds with debug assertions; in a release build the points do nothing.
+//! Crash points for tests of the state that a kill leaves behind: `EMBERPIN_DIE_AT=POINT:N` aborts the process when
+//! that point is reached for the Nth time, and `EMBERPIN_STOP_AT=POINT:N` stops it there until it is continued or
+//! killed. Only in builds with debug assertions; in a release build the points do nothing.
 
 use emberpin_wal::{FileIdentity, Storage};
 use std::io;
 
-/// Marks that execution has reached the point of this name, and crashes or stops the process if the environment asks for it.
+/// Marks that execution has reached the point of this name, and crashes or stops the process if the environment asks
+/// for it.
 #[cfg(debug_assertions)]
 pub fn reach(point: &str) {
     use std::sync::OnceLock;
--- a/crates/emberpin-limiter/src/operate/faulty_disk.rs
+++ b/crates/emberpin-limiter/src/operate/faulty_disk.rs
@@ -1,6 +1,6 @@
-//! Disk faults for tests of the log: `EMBERPIN_DISK=KIND:N` injects a fault into the log's disk from its Nth append on, and
-//! the file `EMBERPIN_DISK_SAID=FILE` is created when the fault first occurs. Only in builds with debug assertions; a
-//! release build uses the disk unchanged.
+//! Disk faults for tests of the log: `EMBERPIN_DISK=KIND:N` injects a fault into the log's disk from its Nth append on,
+//! and the file `EMBERPIN_DISK_SAID=FILE` is created when the fault first occurs. Only in builds with debug assertions;
+//! a release build uses the disk unchanged.
 //!
 //! | kind | from the Nth append on |
 //! | --- | --- |
--- a/crates/emberpin-limiter/src/operate/figures.rs
+++ b/crates/emberpin-limiter/src/operate/figures.rs
@@ -1,7 +1,8 @@
-//! The limiter's metrics: updated where each event happens, and served by the operator API in the Prometheus text format.
+//! The limiter's metrics: updated where each event happens, and served by the operator API in the Prometheus text
+//! format.
 //!
-//! All of them are atomics, so that the operator API's thread reads them without involving another thread. Counters start
-//! at zero with the process.
+//! All of them are atomics, so that the operator API's thread reads them without involving another thread. Counters
+//! start at zero with the process.
 
 use emberpin_balancer::ClassId;
 use prometheus::{IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
@@ -58,11 +59,11 @@
     ///
     /// # Errors
     ///
-    /// The metrics library's error for names that it does not accept.
+    /// The metrics library rejected a name.
     pub fn new(classes: &[String]) -> Result<Arc<LimiterMetrics>, String> {
         LimiterMetrics::register(classes)
             .map(Arc::new)
-            .map_err(|e| format!("figures: {e}"))
+            .map_err(|e| format!("metrics: {e}"))
     }
 
     fn register(classes: &[String]) -> prometheus::Result<LimiterMetrics> {
@@ -111,9 +112,9 @@
     }
 
     /// Counts a request of this class as active until the returned value is dropped.
-    pub fn start_request(self: &Arc<Self>, class: ClassId) -> Active {
+    pub fn start_request(self: &Arc<Self>, class: ClassId) -> ActiveRequest {
         self.active.inc();
-        Active {
+        ActiveRequest {
             metrics: self.clone(),
             class,
             outcome: None,
@@ -124,7 +125,7 @@
     ///
     /// # Errors
     ///
-    /// The metrics library's error for metrics that it cannot encode.
+    /// The metrics library could not encode the metrics.
     pub fn text(&self) -> Result<String, String> {
         TextEncoder::new()
             .encode_to_string(&self.registry.gather())
@@ -132,22 +133,22 @@
     }
 }
 
-/// An active request. One that is dropped without an ending, because its client abandoned it, is not counted in
-/// `app_responses`.
-pub struct Active {
+/// Keeps a request counted as active until this value is dropped. A request that has no outcome by then, because its
+/// client abandoned it, is not counted in `app_responses`.
+pub struct ActiveRequest {
     metrics: Arc<LimiterMetrics>,
     class: ClassId,
     outcome: Option<RequestOutcome>,
 }
 
-impl Active {
+impl ActiveRequest {
     /// Sets how the request is counted when this value is dropped; the last call wins.
     pub fn set_outcome(&mut self, outcome: RequestOutcome) {
         self.outcome = Some(outcome);
     }
 }
 
-impl Drop for Active {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         self.metrics.active.dec();
         if let (Some(outcome), Some(counters)) =
--- a/crates/emberpin-limiter/src/operate/operator.rs
+++ b/crates/emberpin-limiter/src/operate/operator.rs
@@ -14,7 +14,7 @@
 /// The settings of all operator files together.
 #[derive(Debug, Default, PartialEq)]
 pub struct OperatorSettings {
-    /// How connections are shared out between clients and servers.
+    /// How connections are divided between clients and servers.
     pub connections: Connections,
     /// Deduplication of keyed requests; off without its table.
     pub idempotency: Option<Idempotency>,
@@ -24,7 +24,7 @@
     pub link: Option<Link>,
     /// How limiters start; without its table a limiter is ready at once.
     pub start: Option<Start>,
-    /// Takeover of work in flight after the failure of its limiter; off without its table.
+    /// Takeover of keyed requests in flight after the failure of their limiter; off without its table.
     pub takeover: Option<Takeover>,
 }
 
@@ -103,7 +103,7 @@
             } = member;
             if !names.insert(name) || !numbers.insert(number) || !addresses.insert(address) {
                 return Err(format!(
-                    "[link] member {name:?}: its name, number or address stands twice"
+                    "[link] member {name:?}: its name, number or address occurs twice"
                 ));
             }
             if self.plain && !address.ip().is_loopback() {
@@ -156,8 +156,8 @@
 ///
 /// # Errors
 ///
-/// The folder contains `{name}` and the instance has no name, or one with other characters than letters, digits, `-`, `_`
-/// and `.`, or one that begins with `.`.
+/// The folder contains `{name}` and the instance has no name, or one with other characters than letters, digits, `-`,
+/// `_` and `.`, or one that begins with `.`.
 pub fn expand_folder(setting: &str, folder: &str, instance: &str) -> Result<PathBuf, String> {
     let is_valid = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     let valid_name =
@@ -259,7 +259,8 @@
     /// The limiter closes idle connections to a server at this share of the server's own idle time-out.
     #[serde(deserialize_with = "idle_share")]
     pub idle_share: f64,
-    /// How long new clients are still accepted after SIGTERM, so that the load balancer in front can notice the shutdown.
+    /// How long new clients are still accepted after SIGTERM, so that the load balancer in front can notice the
+    /// shutdown.
     #[serde(rename = "leaving_ms", deserialize_with = "drain_grace")]
     pub drain_grace: Duration,
 }
@@ -267,7 +268,8 @@
 impl Default for Connections {
     fn default() -> Connections {
         Connections {
-            // Clients may use a third of all descriptors for requests in flight; silent and idle connections add to these.
+            // Clients may need a third of all descriptors for requests in flight, and more for silent and idle
+            // connections.
             client_share: 0.55,
             idle_per_server: 16,
             // Below 1, so that no connection is used at the moment when the server closes it.
@@ -364,7 +366,7 @@
                     .map(|path| path.display().to_string())
                     .unwrap_or_default();
                 return Err(format!(
-                    "{file}: [start] callers tell the list over the link, and [link] is not set: set it, or leave \
+                    "{file}: [start] callers forward the list over the link, and [link] is not set: set it, or leave \
                      callers out"
                 ));
             }
--- a/crates/emberpin-limiter/src/operate/operator_api.rs
+++ b/crates/emberpin-limiter/src/operate/operator_api.rs
@@ -1,8 +1,8 @@
 //! The operators' HTTP interface: it has its own address, thread and runtime, so that its responses do not wait for
 //! clients' requests.
 //!
-//! Metrics are read directly. Commands about servers go to the driver; a command that the driver does not confirm in time
-//! fails, and the driver must not execute it later.
+//! Metrics are read directly. Commands about servers go to the driver; a command that the driver does not confirm in
+//! time fails, and the driver must not execute it later.
 
 use crate::operate::figures::LimiterMetrics;
 use bytes::Bytes;
@@ -26,8 +26,8 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout};
 
-/// Maximum number of connections; a descriptor is reserved for each. When all are in use, the connection that has waited
-/// longest without a complete request is closed for the next one.
+/// Maximum number of connections; a descriptor is reserved for each. When all are in use, the connection that has
+/// waited longest without a complete request is closed for the next one.
 pub const MAX_CONNECTIONS: usize = 32;
 /// Maximum duration of a connection, from accepting it to the end of the response.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(4);
@@ -53,7 +53,8 @@
     pub server: String,
     /// Whether the server is to be out of service.
     pub out_of_service: bool,
-    /// Receives the confirmation. If it is closed, the caller has given up and the command must not be executed.
+    /// Receives the confirmation. If it is closed, the operator's request has timed out or was dropped, and the
+    /// command must not be executed.
     pub reply_to: oneshot::Sender<Result<(), UnknownServer>>,
 }
 
@@ -68,7 +69,7 @@
     commands: mpsc::Sender<ServerCommand>,
 }
 
-/// Opens the interface and returns the channel of its commands, which stays open until the process exits. `ready` says
+/// Opens the interface and returns the receiver of its commands, which stays open until the process exits. `ready` says
 /// whether this process is ready for clients.
 ///
 /// # Errors
--- a/crates/emberpin-limiter/src/operate/request_path.rs
+++ b/crates/emberpin-limiter/src/operate/request_path.rs
@@ -7,7 +7,7 @@
 use crate::messages::{Answer, ResponseHead, ServerResponse};
 use crate::operate::config::Config;
 use crate::operate::operator::OperatorSettings;
-use crate::upstream::endpoint_list::Entry as Listed;
+use crate::upstream::endpoint_list::Entry as ListEntry;
 use bytes::Bytes;
 use emberpin_balancer::{
     Action, AttemptResult, Event, Gateway, GatewaySet, LoadReport, MembershipUpdate, Millis,
@@ -16,7 +16,7 @@
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
 
-/// How long the servers seem to take, on a simulated clock that only requests advance.
+/// The response time that the servers simulate, on a clock that only requests advance.
 const SERVICE_TIME: Millis = 20.0;
 /// How far each request advances the clock.
 const REQUEST_INTERVAL: Millis = 1.0;
@@ -42,13 +42,13 @@
     pub fn from_env() -> Result<RequestPath, String> {
         let config = Config::from_env(&OperatorSettings::default())?;
         let servers = config.known.targets.iter().filter_map(|entry| match entry {
-            Listed::Target(target) => target.server(&config.names).ok(),
-            Listed::Garbled(_) => None,
+            ListEntry::Target(target) => target.server(&config.names).ok(),
+            ListEntry::Garbled(_) => None,
         });
         let servers = servers.collect();
         let admission = Admission::new(&config);
         let (gateway, now) = (Gateway::new(config.settings, config.seed, 0.0), 0.0);
-        let mut entry = RequestPath {
+        let mut path = RequestPath {
             admission,
             gateway,
             now,
@@ -56,8 +56,8 @@
             next_id: 0,
             actions: Vec::new(),
         };
-        entry.handle_event(Event::Membership(MembershipUpdate::Full(servers)));
-        Ok(entry)
+        path.handle_event(Event::Membership(MembershipUpdate::Full(servers)));
+        Ok(path)
     }
 
     fn handle_event(&mut self, event: Event) {
--- a/crates/emberpin-limiter/src/operate/start.rs
+++ b/crates/emberpin-limiter/src/operate/start.rs
@@ -13,8 +13,8 @@
     /// Number of calls per second that the list service can answer, over all limiters together.
     #[serde(deserialize_with = "calls_per_s")]
     pub list_calls_per_s: Option<f64>,
-    /// Number of limiters that watch the endpoint list at the service and forward it to the others over the link; without
-    /// this setting each limiter watches it at the service.
+    /// Number of limiters that watch the endpoint list at the service and forward it to the others over the link;
+    /// without this setting each limiter watches it at the service.
     #[serde(deserialize_with = "callers")]
     pub callers: Option<usize>,
     /// The list service's name, the same at all limiters, where they reach it at different addresses.
@@ -22,7 +22,8 @@
     /// A limiter becomes ready after this time even if it knows no server.
     #[serde(rename = "ready_within_s", deserialize_with = "ready")]
     pub ready_within: Duration,
-    /// A complete list that names less than this share of the known servers is doubted.
+    /// A complete list that names less than this share of the known servers is doubted: the servers that it leaves out
+    /// are kept.
     #[serde(deserialize_with = "share")]
     pub keep_share: f64,
     /// Maximum time for which such a list is doubted.
--- a/crates/emberpin-limiter/src/operate/takeover.rs
+++ b/crates/emberpin-limiter/src/operate/takeover.rs
@@ -1,12 +1,13 @@
-//! The table `[takeover]` of operator files: with it, keyed work in flight survives the failure of its limiter, as other
-//! limiters complete it.
+//! The table `[takeover]` of operator files: with it, keyed requests in flight survive the failure of their limiter, as
+//! other limiters complete them. The settings call such a request a piece of work.
 
 use crate::operate::operator::{count, within};
 use serde::{Deserialize, Deserializer};
 use std::fmt;
 use std::time::Duration;
 
-/// How work in flight is replicated and taken over: the table `[takeover]`, which must be the same at all limiters.
+/// How keyed requests in flight are replicated and taken over: the table `[takeover]`, which must be the same at all
+/// limiters.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Takeover {
--- a/crates/emberpin-limiter/src/stages/idempotency.rs
+++ b/crates/emberpin-limiter/src/stages/idempotency.rs
@@ -6,7 +6,7 @@
 use crate::between::tls;
 use crate::front::answers::{client_response, empty_response};
 use crate::front::stream::Content;
-use crate::messages::{Answer, UpstreamRequest, MAX_BODY};
+use crate::messages::{Answer, UpstreamRequest, MAX_BUFFERED_BODY};
 use crate::operate::config::Config;
 use crate::operate::crash_points;
 use crate::operate::operator::{self, Keys, Repeats};
@@ -41,7 +41,7 @@
 /// Bytes that are counted for a stored answer in addition to its body.
 const HEAD_WEIGHT: usize = 128;
 const _: () = assert!(
-    MAX_BODY + HEAD_WEIGHT < 1 << 20,
+    MAX_BUFFERED_BODY + HEAD_WEIGHT < 1 << 20,
     "an answer fits the smallest share that can be set"
 );
 
--- a/crates/emberpin-limiter/src/stages/takeover.rs
+++ b/crates/emberpin-limiter/src/stages/takeover.rs
@@ -3,7 +3,7 @@
 //! a request is decided in `emberpin_failover`.
 
 use crate::between::link::{Link, LinkEvent, WORK_MESSAGES};
-use crate::messages::{Answer, Gate, RequestBody, UpstreamRequest};
+use crate::messages::{Answer, AttemptCheck, RequestBody, UpstreamRequest};
 use crate::operate::config::Config;
 use crate::operate::crash_points;
 use crate::operate::takeover::Takeover as Settings;
@@ -66,7 +66,7 @@
     closed: Notify,
 }
 
-impl Gate for WorkGate {
+impl AttemptCheck for WorkGate {
     fn allows<'a>(
         &'a self,
         attempt: u32,
@@ -532,7 +532,7 @@
                 body: RequestBody::Buffered(encoded.body.into()),
                 may_stream: false,
                 max_idle_time: None,
-                gate: Some(Rc::new(gate)),
+                attempt_check: Some(Rc::new(gate)),
                 withdrawn: Default::default(),
             },
             ran: PriorAttempt {
--- a/crates/emberpin-limiter/src/upstream/engine/mod.rs
+++ b/crates/emberpin-limiter/src/upstream/engine/mod.rs
@@ -337,13 +337,13 @@
             }
         };
         spawn_local(async move {
-            let gate_asked_at = Instant::now();
-            let permitted = match &outgoing.gate {
+            let check_started_at = Instant::now();
+            let permitted = match &outgoing.attempt_check {
                 None => true,
-                // The server may have begun to drain while the gate was asked.
-                Some(gate) => gate.allows(attempt, location, timeout).await && upstream.is_open(),
+                // The server may have begun to drain while the check ran.
+                Some(check) => check.allows(attempt, location, timeout).await && upstream.is_open(),
             };
-            let left = timeout.saturating_sub(gate_asked_at.elapsed());
+            let left = timeout.saturating_sub(check_started_at.elapsed());
             let ended = match permitted && !left.is_zero() {
                 true => upstream.attempt(outgoing, left, cancelled).await,
                 false => AttemptEnd::unsent(),
--- a/crates/emberpin-limiter/tests/command.rs
+++ b/crates/emberpin-limiter/tests/command.rs
@@ -70,7 +70,7 @@
     let path = std::env::temp_dir().join(format!("emberpin-callers-{}.toml", std::process::id()));
     let file = path.to_str().expect("text");
     for (callers, problem) in [
-        ("3", ": [start] callers tell the list over the link, and [link] is not set: set it, or leave callers out\n"),
+        ("3", ": [start] callers forward the list over the link, and [link] is not set: set it, or leave callers out\n"),
         ("0", ":2:11: found 0, expected 1 to 100 limiters\n"),
     ] {
         std::fs::write(&path, format!("[start]\ncallers = {callers}\n")).expect("written");
--- a/crates/emberpin-proxy/src/controller/routing.rs
+++ b/crates/emberpin-proxy/src/controller/routing.rs
@@ -46,7 +46,7 @@
         RejectionCause::NoServer
         | RejectionCause::RetryBudget
         | RejectionCause::ShuttingDown
-        | RejectionCause::Request => retry_later(RETRY_AFTER_NO_SERVER),
+        | RejectionCause::NotReceived => retry_later(RETRY_AFTER_NO_SERVER),
     }
 }
 
--- a/crates/emberpin-proxy/src/frontend/mod.rs
+++ b/crates/emberpin-proxy/src/frontend/mod.rs
@@ -12,7 +12,7 @@
 use emberpin_balancer::{ClassId, RequestId};
 use emberpin_limiter::host::{
     buffer_body_start, discard_body, empty_response, remove_hop_by_hop_headers, streamed_response,
-    Active, Answer, Connection, Content, LimiterMetrics, Reply, RequestBody, RequestHandler,
+    ActiveRequest, Answer, Connection, Content, LimiterMetrics, Reply, RequestBody, RequestHandler,
     Upload, UpstreamRequest,
 };
 use hyper::body::{Body, Incoming};
@@ -96,12 +96,12 @@
         }
         let received = self.receive(request, connection).await;
         if received.is_err() {
-            self.metrics.count_rejection(RejectionCause::Request);
+            self.metrics.count_rejection(RejectionCause::NotReceived);
         }
         let request = received?;
-        let active = self.limiter_metrics.start_request(ClassId(0));
+        let active_request = self.limiter_metrics.start_request(ClassId(0));
         let reply = self.forward(request).await?;
-        Ok(self.respond_with(reply, active, connection).await)
+        Ok(self.respond_with(reply, active_request, connection).await)
     }
 
     /// Checks a request's head and buffers the beginning of its body.
@@ -140,7 +140,7 @@
             body,
             may_stream: true,
             max_idle_time: None,
-            gate: None,
+            attempt_check: None,
             withdrawn: Cell::default(),
         };
         Ok(ReceivedRequest {
@@ -236,23 +236,28 @@
     async fn respond_with(
         &self,
         reply: Reply,
-        active: Active,
+        active_request: ActiveRequest,
         connection: &Rc<Connection>,
     ) -> Response<Content> {
         let response = match reply {
             Reply::Answer(answer) => answer_response(answer),
-            Reply::Streamed(passing) => {
+            Reply::Streamed(streamed) => {
                 let slot = self.download_slots.clone().acquire_owned();
                 match timeout(DOWNLOAD_SLOT_TIMEOUT, slot).await {
                     Ok(Ok(slot)) => {
-                        return streamed_response(passing, active, connection.clone(), slot)
+                        return streamed_response(
+                            streamed,
+                            active_request,
+                            connection.clone(),
+                            slot,
+                        )
                     }
                     // No slot became free. Nothing of the response has been written yet, so it can still fail cleanly.
                     Ok(Err(_)) | Err(_) => empty_response(StatusCode::BAD_GATEWAY),
                 }
             }
         };
-        record_outcome(active, response.status());
+        record_outcome(active_request, response.status());
         response
     }
 }
--- a/crates/emberpin-proxy/src/frontend/response.rs
+++ b/crates/emberpin-proxy/src/frontend/response.rs
@@ -1,7 +1,8 @@
 //! Responses to clients, other than streamed ones.
 
 use emberpin_limiter::host::{
-    empty_response, response_with_head, Active, Answer, Content, RequestOutcome, ServerResponse,
+    empty_response, response_with_head, ActiveRequest, Answer, Content, RequestOutcome,
+    ServerResponse,
 };
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
@@ -51,9 +52,9 @@
     response
 }
 
-/// Counts the response in the metrics.
-pub(super) fn record_outcome(mut active: Active, status: StatusCode) {
-    active.set_outcome(match status {
+/// Sets how the metrics count the request, by the status of its response.
+pub(super) fn record_outcome(mut active_request: ActiveRequest, status: StatusCode) {
+    active_request.set_outcome(match status {
         status if status.is_success() => RequestOutcome::Ok,
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => RequestOutcome::Shed,
         _ => RequestOutcome::Errors,
--- a/crates/emberpin-proxy/src/metrics.rs
+++ b/crates/emberpin-proxy/src/metrics.rs
@@ -27,8 +27,9 @@
     RetryBudget,
     /// The proxy is about to exit.
     ShuttingDown,
-    /// The request is invalid or exceeds a limit of the configuration, or its body stopped arriving.
-    Request,
+    /// The request was not received: it is invalid or exceeds a limit of the configuration, its body stopped arriving,
+    /// or no slot was free to stream the body.
+    NotReceived,
 }
 
 impl RejectionCause {
@@ -39,7 +40,7 @@
             RejectionCause::NoServer => "no_server",
             RejectionCause::RetryBudget => "retry_budget",
             RejectionCause::ShuttingDown => "shutting_down",
-            RejectionCause::Request => "request",
+            RejectionCause::NotReceived => "request",
         }
     }
 }
--- a/crates/emberpin-proxy/tests/server_selection.rs
+++ b/crates/emberpin-proxy/tests/server_selection.rs
@@ -294,7 +294,7 @@
         body: RequestBody::Buffered(bytes::Bytes::new()),
         may_stream: true,
         max_idle_time: None,
-        gate: None,
+        attempt_check: None,
         withdrawn: Default::default(),
     };
     let (_cancel, cancelled) = oneshot::channel();
