--- a/crates/emberpin-proxy/src/frontend/mod.rs
+++ b/crates/emberpin-proxy/src/frontend/mod.rs
@@ -63,8 +63,8 @@
 }
 
 impl ClientFrontend {
-    /// Routes requests through the controller behind `commands`. At most `stream_slots` bodies are streamed at a time in
-    /// each direction.
+    /// Routes requests through the controller behind `commands`. At most `stream_slots` bodies are streamed at a time
+    /// in each direction.
     pub fn new(
         published: Rc<PublishedState>,
         commands: mpsc::Sender<Command>,
@@ -208,8 +208,8 @@
         if reply.is_ok() {
             pending.set_answered();
         }
-        // A response may precede the end of the request's body. The rest is read and discarded: closing a connection with
-        // unread bytes would reset it, and the client might lose the response.
+        // A response may precede the end of the request's body. The rest is read and discarded: closing a connection
+        // with unread bytes would reset it, and the client might lose the response.
         if let Some(rest) = upload.and_then(|upload| upload.take_rest()) {
             spawn_local(discard_body(rest));
         }
