--- a/crates/emberpin-bench/src/measure.rs
+++ b/crates/emberpin-bench/src/measure.rs
@@ -3,7 +3,7 @@
 use crate::{settings, standins, Plan, AS_BARE, AS_LIMITER, AS_STACK};
 use comfy_table::presets::UTF8_HORIZONTAL_ONLY;
 use comfy_table::{CellAlignment, Table, TableComponent};
-use emberpin_testbed::process::used;
+use emberpin_testbed::process::resource_usage;
 use emberpin_testbed::report::percentile;
 use serde::Serialize;
 use std::ffi::OsString;
@@ -229,7 +229,7 @@
     }
 
     fn used(&self) -> Result<(f64, u64), String> {
-        used(self.child.id()).ok_or_else(|| format!("{} has ended", self.subject.name))
+        resource_usage(self.child.id()).ok_or_else(|| format!("{} has ended", self.subject.name))
     }
 }
 
--- a/crates/emberpin-testbed/src/bin/cold-start.rs
+++ b/crates/emberpin-testbed/src/bin/cold-start.rs
@@ -10,7 +10,7 @@
 use emberpin_testbed::resources::ResourceNeeds;
 use emberpin_testbed::scenario::Scenario;
 use emberpin_testbed::site::run;
-use emberpin_testbed::start_summary::Starts;
+use emberpin_testbed::start_summary::StartSummary;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -122,7 +122,7 @@
                     violation_histories(&outcome.verdict)
                 );
             }
-            let starts = Starts::from_outcome(&outcome);
+            let starts = StartSummary::from_outcome(&outcome);
             eprintln!("{limiters} limiters, seed {seed}: {starts:?}");
             json_lines +=
                 &serde_json::to_string(&(limiters, seed, &starts)).map_err(|e| e.to_string())?;
@@ -180,9 +180,9 @@
 }
 
 /// A row of the table: for each figure, the mean over the runs with its minimum and maximum.
-fn row(limiters: usize, runs: &[Starts]) -> Vec<String> {
+fn row(limiters: usize, runs: &[StartSummary]) -> Vec<String> {
     let n = limiters as f64;
-    let spread = |of: &dyn Fn(&Starts) -> f64, digits: usize| {
+    let spread = |of: &dyn Fn(&StartSummary) -> f64, digits: usize| {
         let values: Vec<f64> = runs.iter().map(of).collect();
         let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
         let (min, max) = (
@@ -215,11 +215,11 @@
             .join(", "),
         [0, 1].map(|k| spread(&|s| when(s.ready[k]), 1)).join(", "),
         spread(&|s| s.most_connections as f64, 0),
-        spread(&|s| s.nearest_to_falling, 2),
-        spread(&|s| s.served(0, 1), 2),
-        spread(&|s| s.served(2, 3), 2),
-        spread(&|s| s.served(5, 6), 2),
-        spread(&|s| s.served(10, usize::MAX), 3),
+        spread(&|s| s.max_overload_ratio, 2),
+        spread(&|s| s.served_share(0, 1), 2),
+        spread(&|s| s.served_share(2, 3), 2),
+        spread(&|s| s.served_share(5, 6), 2),
+        spread(&|s| s.served_share(10, usize::MAX), 3),
         spread(&|s| s.cpu_ms / n, 0),
         spread(&|s| s.memory_mib / n, 1),
     ]
--- a/crates/emberpin-testbed/src/error.rs
+++ b/crates/emberpin-testbed/src/error.rs
@@ -7,10 +7,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SiteError {
     /// The asynchronous runtime could not be built.
-    #[error("no runtime: {0}")]
+    #[error("cannot build the asynchronous runtime: {0}")]
     Runtime(#[source] io::Error),
     /// The folder for the files of the run could not be created.
-    #[error("cannot make {}: {source}", path.display())]
+    #[error("cannot create the folder {}: {source}", path.display())]
     Folder {
         /// The folder.
         path: PathBuf,
@@ -18,7 +18,7 @@
         source: io::Error,
     },
     /// A part of the stand-ins could not be started.
-    #[error("{part}: {source}")]
+    #[error("cannot set up {part}: {source}")]
     StandIn {
         /// The part that failed.
         part: StandIn,
@@ -32,7 +32,7 @@
     #[error(transparent)]
     Limiter(#[from] LimiterError),
     /// The task that starts a limiter panicked.
-    #[error("a limiter's start: {0}")]
+    #[error("the task that starts a limiter failed: {0}")]
     StartTask(#[from] tokio::task::JoinError),
 }
 
@@ -40,49 +40,49 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StandIn {
     /// The port of a server.
-    #[error("a server's port")]
+    #[error("the port of a server")]
     ServerPort,
     /// A server, at the start or at a restart after a fault.
     #[error("server {0}")]
     Server(usize),
     /// The address that a server moves to.
-    #[error("a server's new address")]
+    #[error("the new address of a server")]
     NewAddress,
     /// The discovery service.
-    #[error("discovery")]
+    #[error("the discovery service")]
     Discovery,
     /// The network for datagrams between limiters.
-    #[error("the peers' network")]
+    #[error("the datagram network between limiters")]
     PeerNetwork,
     /// The network for links between limiters.
     #[error("the links between limiters")]
     LinkNetwork,
-    /// The operator file that gives a limiter its link.
-    #[error("a limiter's link")]
+    /// The operator file that configures the links of a limiter.
+    #[error("the operator file for the links of a limiter")]
     LinkFile,
     /// The port of a limiter.
-    #[error("a limiter's port")]
+    #[error("the port of a limiter")]
     LimiterPort,
 }
 
 /// A resource that the machine lacks.
 #[derive(Debug, thiserror::Error)]
 pub enum ResourceError {
-    /// The limit on descriptors could not be read or raised.
-    #[error("the limit on descriptors: {0}")]
+    /// The limit on file descriptors could not be read or raised.
+    #[error("cannot read or raise the limit on file descriptors: {0}")]
     DescriptorLimit(#[source] nix::Error),
-    /// The machine allows too few descriptors.
+    /// The hard limit on file descriptors is too low.
     #[error(
-        "this site needs {needed} descriptors, and this machine gives {available}: take fewer limiters or servers"
+        "this site needs {needed} file descriptors, and the limit is {available}: use fewer limiters or servers"
     )]
     Descriptors {
-        /// Number of descriptors that the site needs.
+        /// Number of file descriptors that the site needs.
         needed: u64,
-        /// Number of descriptors that one process may have.
+        /// Number of file descriptors that a process may open (the hard limit).
         available: u64,
     },
     /// Too little memory is available.
-    #[error("this site needs {needed} MiB of memory, and {available} are available: take fewer limiters")]
+    #[error("this site needs {needed} MiB of memory, and {available} MiB are available: use fewer limiters")]
     Memory {
         /// Memory that the site needs, in MiB.
         needed: u64,
@@ -95,7 +95,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum LimiterError {
     /// A file that the limiter reads or writes could not be created.
-    #[error("limiter {number}: {file}: {source}")]
+    #[error("limiter {number}: cannot create {file}: {source}")]
     File {
         /// The limiter's number.
         number: usize,
@@ -114,8 +114,8 @@
         /// The operating system's error.
         source: io::Error,
     },
-    /// The command that initialises the limiter's log failed.
-    #[error("limiter {number}: cannot initialise its log: {output}")]
+    /// The command that initialises the limiter's durable log failed.
+    #[error("limiter {number}: cannot initialise its durable log: {output}")]
     LogInit {
         /// The limiter's number.
         number: usize,
@@ -123,13 +123,13 @@
         output: String,
     },
     /// The limiter exited before it was ready.
-    #[error("limiter {number} ended before it was ready ({status}); it said: {last_line}")]
+    #[error("limiter {number} ended before it was ready ({status}); last line of its standard error: {last_line}")]
     Ended {
         /// The limiter's number.
         number: usize,
         /// The exit status of its process.
         status: String,
-        /// The last line of its log.
+        /// The last line of its standard error.
         last_line: String,
     },
     /// The limiter was not ready in time.
@@ -148,16 +148,16 @@
     /// The limiter's configuration.
     #[error("its configuration")]
     Configuration,
-    /// The limiter's standard error.
-    #[error("its log")]
-    Log,
-    /// The limiter's operator file.
+    /// The file that receives the limiter's standard error.
+    #[error("the file for its standard error")]
+    Stderr,
+    /// The operator file: the TOML file that the limiter gets with `--with`.
     #[error("its operator file")]
-    Operator,
+    OperatorFile,
 }
 
 impl SiteError {
-    /// For `map_err`: a part of the stand-ins could not be started.
+    /// Returns a function for `map_err` that reports that this part of the stand-ins could not be started.
     pub(crate) fn stand_in(part: StandIn) -> impl FnOnce(io::Error) -> SiteError {
         move |source| SiteError::StandIn { part, source }
     }
--- a/crates/emberpin-testbed/src/invariants.rs
+++ b/crates/emberpin-testbed/src/invariants.rs
@@ -468,10 +468,10 @@
         for (at, limiter, end) in &self.exits {
             let message = match end {
                 ProcessEnd::Crashed => format!("limiter {limiter} ended unasked"),
-                ProcessEnd::Overdue => {
+                ProcessEnd::ShutdownTimedOut => {
                     format!("limiter {limiter} had not left in its time after SIGTERM")
                 }
-                ProcessEnd::Killed | ProcessEnd::Left => continue,
+                ProcessEnd::Killed | ProcessEnd::ShutDown => continue,
             };
             violations.push((
                 DetectedViolation {
--- a/crates/emberpin-testbed/src/process.rs
+++ b/crates/emberpin-testbed/src/process.rs
@@ -1,5 +1,5 @@
-//! Limiters as processes of their own: starts, watches, kills and measures them. Apart from signals, the testbed
-//! reaches a limiter through sockets only.
+//! Runs limiters as separate processes: starts, kills and measures them, and records their exits. Apart from signals,
+//! the testbed reaches a running limiter through sockets only.
 
 use crate::error::{LimiterError, LimiterFile};
 use crate::http::Wire;
@@ -24,9 +24,10 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Time-out of a limiter's start, far longer than a start takes on any machine; only a failure reaches it.
+/// Time-out of a limiter's start, far longer than a start takes on any machine, so that only a failed start exceeds it.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time-out of a graceful shutdown, after which SIGKILL follows SIGTERM: longer than the longest deadline.
+/// Time-out of a graceful shutdown, after which SIGKILL follows SIGTERM: longer than the longest deadline
+/// of a request.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3700);
 
 /// The program that runs as the limiter.
@@ -63,14 +64,18 @@
     pub address: SocketAddr,
     recorder: Recorder,
     program: Program,
+    /// The folder for the files of the run.
     folder: PathBuf,
+    /// The seed of the next incarnation.
     seed: Cell<u64>,
     usage: Cell<Usage>,
     /// Processor time of the earlier incarnations, in milliseconds.
     previous_cpu_ms: Cell<f64>,
     pid: Cell<Option<u32>>,
+    /// How the testbed is ending the current incarnation; `None` if it is not, so that an exit is a crash.
     expected_end: Cell<Option<ProcessEnd>>,
-    ended: watch::Sender<bool>,
+    /// Whether no process is running: before the first start, and from each exit until the next start.
+    exited: watch::Sender<bool>,
     /// The last line on standard error before the latest unexpected exit of a ready limiter; empty if there was none.
     last_stderr_line: RefCell<String>,
     /// The point of the code at which the next incarnation stops, as `POINT:N`; consumed by the next start.
@@ -100,34 +105,35 @@
             previous_cpu_ms: Cell::new(0.0),
             pid: Cell::new(None),
             expected_end: Cell::new(None),
-            ended: watch::Sender::new(true),
+            exited: watch::Sender::new(true),
             last_stderr_line: RefCell::default(),
             stop_point: RefCell::default(),
             disk_fault: RefCell::default(),
         })
     }
 
-    /// Starts the process with this configuration. Returns `true` once it is ready, `false` if it was killed before.
+    /// Starts the process with this configuration. Returns `true` once it is ready, and `false` if a fault killed it
+    /// before it was ready.
     ///
     /// # Errors
     ///
     /// [`LimiterError`] if the process does not start or does not become ready.
     pub async fn start(self: &Rc<Self>, config: Value) -> Result<bool, LimiterError> {
         let number = self.number;
-        let file = self.folder.join(format!("limiter-{number}.json"));
+        let config_path = self.folder.join(format!("limiter-{number}.json"));
         let stderr_path = self.folder.join(format!("limiter-{number}.log"));
-        std::fs::write(&file, config.to_string())
+        std::fs::write(&config_path, config.to_string())
             .map_err(self.file_error(LimiterFile::Configuration))?;
         let stderr_file = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
             .open(&stderr_path);
-        let stderr_file = stderr_file.map_err(self.file_error(LimiterFile::Log))?;
-        let durable_log_arguments = self.durable_log_arguments(&file)?;
+        let stderr_file = stderr_file.map_err(self.file_error(LimiterFile::Stderr))?;
+        let durable_log_arguments = self.durable_log_arguments(&config_path)?;
         let mut child = Command::new(&self.program.path)
             .args(&self.program.arguments)
             .args(durable_log_arguments)
-            .env("GW_CONFIG", &file)
+            .env("GW_CONFIG", &config_path)
             .envs(
                 self.stop_point
                     .borrow_mut()
@@ -150,7 +156,7 @@
             .map_err(|source| self.spawn_error(source))?;
         self.pid.set(child.id());
         self.expected_end.set(None);
-        self.ended.send_replace(false);
+        self.exited.send_replace(false);
         let mut usage = self.usage.get();
         usage.starts += 1;
         self.usage.set(usage);
@@ -160,25 +166,25 @@
             }
         };
         let started = tokio::select! {
-            ended = child.wait() => {
+            exit_status = child.wait() => {
                 let stderr_text = std::fs::read_to_string(&stderr_path).unwrap_or_default();
                 Err(LimiterError::Ended {
                     number,
-                    status: format!("{ended:?}"),
+                    status: format!("{exit_status:?}"),
                     last_line: stderr_text.lines().last().unwrap_or("nothing").to_string(),
                 })
             }
-            late = tokio::time::timeout(START_TIMEOUT, ready) => {
-                late.map_err(|_| LimiterError::NotReady { number, seconds: START_TIMEOUT.as_secs() })
+            ready_in_time = tokio::time::timeout(START_TIMEOUT, ready) => {
+                ready_in_time.map_err(|_| LimiterError::NotReady { number, seconds: START_TIMEOUT.as_secs() })
             }
         };
-        if let Err(problem) = started {
-            // Nothing waits for the exit any more; dropping the handle kills the process if it still runs.
+        if let Err(error) = started {
+            // No task waits for the exit; returning drops `child`, which kills a process that still runs.
             self.pid.set(None);
-            self.ended.send_replace(true);
+            self.exited.send_replace(true);
             return match self.expected_end.get() {
                 Some(ProcessEnd::Killed) => Ok(false),
-                _ => Err(problem),
+                _ => Err(error),
             };
         }
         self.recorder
@@ -187,7 +193,7 @@
         Ok(true)
     }
 
-    /// For `map_err`: a file of this limiter could not be created.
+    /// Returns a function for `map_err` that reports that this file could not be created.
     fn file_error(&self, file: LimiterFile) -> impl FnOnce(std::io::Error) -> LimiterError {
         let number = self.number;
         move |source| LimiterError::File {
@@ -207,23 +213,24 @@
 
     /// The arguments that give the limiter a durable log; none if the program runs without one. Before the first start,
     /// initialises the log with `log init`, as an operator does.
-    fn durable_log_arguments(&self, config: &Path) -> Result<Vec<OsString>, LimiterError> {
+    fn durable_log_arguments(&self, config_path: &Path) -> Result<Vec<OsString>, LimiterError> {
         if !self.program.durable_log {
             return Ok(Vec::new());
         }
-        let file = self.folder.join("log.toml");
+        let operator_file = self.folder.join("log.toml");
         let table = format!(
             "[log]\nfolder = \"{}/log-{{name}}\"\n",
             self.folder.display()
         );
-        std::fs::write(&file, table).map_err(self.file_error(LimiterFile::Operator))?;
-        let arguments = vec!["--with".into(), file.into_os_string()];
+        std::fs::write(&operator_file, table)
+            .map_err(self.file_error(LimiterFile::OperatorFile))?;
+        let arguments = vec!["--with".into(), operator_file.into_os_string()];
         if self.usage.get().starts == 0 {
             let log_init = std::process::Command::new(&self.program.path)
                 .args(&self.program.arguments)
                 .args(&arguments)
                 .args(["log", "init"])
-                .env("GW_CONFIG", config)
+                .env("GW_CONFIG", config_path)
                 .output();
             let log_init = log_init.map_err(|source| self.spawn_error(source))?;
             if !log_init.status.success() {
@@ -236,8 +243,8 @@
         Ok(arguments)
     }
 
-    /// Waits for the process to exit and records the exit, unless it was recorded when the testbed killed the process.
-    /// Keeps the last line on standard error after an unexpected exit.
+    /// Waits for the process to exit and records the exit, unless `kill_as` has recorded it already. After an
+    /// unexpected exit, stores the last line of standard error.
     async fn watch(self: Rc<Self>, mut child: Child, stderr_path: PathBuf) {
         _ = child.wait().await;
         let end = self.expected_end.get().unwrap_or(ProcessEnd::Crashed);
@@ -246,16 +253,17 @@
             *self.last_stderr_line.borrow_mut() =
                 stderr_text.lines().last().unwrap_or_default().to_string();
         }
-        if end != ProcessEnd::Killed && end != ProcessEnd::Overdue {
+        if end != ProcessEnd::Killed && end != ProcessEnd::ShutdownTimedOut {
             self.recorder.record(EventKind::LimiterStopped {
                 limiter: self.number,
                 end,
             });
         }
         self.pid.set(None);
-        self.ended.send_replace(true);
+        self.exited.send_replace(true);
     }
 
+    /// Whether the limiter answers `GET /health/ready` with status 200.
     async fn is_ready(&self) -> bool {
         let Ok(stream) = TcpStream::connect(self.address).await else {
             return false;
@@ -278,6 +286,7 @@
         self.wait_until_exited().await;
     }
 
+    /// Sends SIGKILL to the process, if it is running, and records this kind of end.
     fn kill_as(&self, end: ProcessEnd) {
         self.measure();
         if self.pid.get().is_some() {
@@ -293,7 +302,7 @@
     /// Sends SIGTERM, and SIGKILL after the shutdown time-out; returns when the process has exited.
     pub async fn shut_down(&self) {
         if self.pid.get().is_some() {
-            self.expected_end.set(Some(ProcessEnd::Left));
+            self.expected_end.set(Some(ProcessEnd::ShutDown));
             self.recorder.record(EventKind::SigtermSent {
                 limiter: self.number,
             });
@@ -303,13 +312,14 @@
             .await
             .is_err()
         {
-            self.kill_as(ProcessEnd::Overdue);
+            self.kill_as(ProcessEnd::ShutdownTimedOut);
             self.wait_until_exited().await;
         }
     }
 
+    /// Waits until the process has exited, then adds its processor time to that of the earlier incarnations.
     async fn wait_until_exited(&self) {
-        _ = self.ended.subscribe().wait_for(|ended| *ended).await;
+        _ = self.exited.subscribe().wait_for(|exited| *exited).await;
         let mut usage = self.usage.get();
         usage.cpu_ms = usage.cpu_ms.max(self.previous_cpu_ms.get());
         self.usage.set(usage);
@@ -321,12 +331,14 @@
         self.signal(Signal::SIGHUP);
     }
 
-    /// Makes the next incarnation stop at a point of its code: `POINT:N`, the Nth time that the point is reached.
+    /// Makes the next incarnation stop itself at a point of its code. `point` has the format `POINT:N`: it stops when
+    /// it reaches the point for the Nth time.
     pub fn stop_at_point(&self, point: &str) {
         *self.stop_point.borrow_mut() = Some(point.into());
     }
 
-    /// Makes the disk that holds the durable log faulty: `KIND:N`, from the Nth append of each incarnation on.
+    /// Makes the disk that holds the durable log faulty. `disk_fault` has the format `KIND:N`: a fault of this kind
+    /// from the Nth append of each incarnation on.
     pub fn set_disk_fault(&self, disk_fault: &str) {
         *self.disk_fault.borrow_mut() = Some(disk_fault.into());
     }
@@ -338,8 +350,12 @@
     }
 
     /// Pauses the process with SIGSTOP, or resumes it with SIGCONT.
-    pub fn set_paused(&self, on: bool) {
-        self.signal(if on { Signal::SIGSTOP } else { Signal::SIGCONT });
+    pub fn set_paused(&self, paused: bool) {
+        self.signal(if paused {
+            Signal::SIGSTOP
+        } else {
+            Signal::SIGCONT
+        });
     }
 
     /// Whether the process is stopped by a signal (proc(5), state `T`).
@@ -363,7 +379,7 @@
 
     /// Reads the resource usage of the process and returns the total so far.
     pub fn measure(&self) -> Usage {
-        if let Some((cpu_ms, peak_kib)) = self.pid.get().and_then(used) {
+        if let Some((cpu_ms, peak_kib)) = self.pid.get().and_then(resource_usage) {
             let mut usage = self.usage.get();
             usage.cpu_ms = self.previous_cpu_ms.get() + cpu_ms;
             usage.peak_kib = usage.peak_kib.max(peak_kib);
@@ -377,45 +393,49 @@
         self.last_stderr_line.borrow().clone()
     }
 
-    /// The platform's configuration file for the next start. The last parameter holds the address at which the limiter
-    /// listens for its peers, the addresses at which it reaches each limiter, and the broadcast address to all of them.
+    /// Returns the contents of the platform's configuration file for the next start; each call uses a new seed. The
+    /// last parameter is the result of [`PeerNetwork::addresses`](crate::peers::PeerNetwork::addresses).
     pub fn config(
         &self,
         site: &Site,
         discovery: SocketAddr,
         initial_list: Value,
-        (peer_listen, peers, all_peers): (SocketAddr, Vec<SocketAddr>, SocketAddr),
+        (listen_address, peer_addresses, broadcast_address): (
+            SocketAddr,
+            Vec<SocketAddr>,
+            SocketAddr,
+        ),
     ) -> Value {
         let seed = self.seed.replace(self.seed.get().wrapping_add(1));
         json!({
             "name": format!("n{}", self.number), "listen": self.address, "discovery": discovery,
             "seed": format!("{seed:016x}"), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "peer_listen": peer_listen, "peers": peers, "peers_all": all_peers, "known": initial_list,
+            "peer_listen": listen_address, "peers": peer_addresses, "peers_all": broadcast_address, "known": initial_list,
             "settings": settings::settings(site, self.number),
         })
     }
 }
 
-/// Kills a process that is still running when the site is dropped.
+/// Kills the process if it is still running when the site is dropped.
 impl Drop for Limiter {
     fn drop(&mut self) {
         self.signal(Signal::SIGKILL);
     }
 }
 
-/// Resource usage of a running process: processor time in milliseconds, from its own clock (`clock_getcpuclockid(3)`),
-/// and the largest resident set in KiB (proc(5)).
-pub fn used(pid: u32) -> Option<(f64, u64)> {
-    let time = clock_getcpuclockid(Pid::from_raw(pid as i32))
+/// Resource usage of a running process: its processor time in milliseconds (`clock_getcpuclockid(3)`) and its largest
+/// resident set in KiB (`VmHWM`, proc(5)). `None` if the process has exited.
+pub fn resource_usage(pid: u32) -> Option<(f64, u64)> {
+    let cpu_time = clock_getcpuclockid(Pid::from_raw(pid as i32))
         .and_then(nix::time::ClockId::now)
         .ok()?;
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
-    let peak = status
+    let peak_line = status
         .lines()
         .find_map(|line| line.strip_prefix("VmHWM:"))?;
-    let peak = peak.split_whitespace().next()?.parse().ok()?;
+    let peak_kib = peak_line.split_whitespace().next()?.parse().ok()?;
     Some((
-        time.tv_sec() as f64 * 1000.0 + time.tv_nsec() as f64 / 1e6,
-        peak,
+        cpu_time.tv_sec() as f64 * 1000.0 + cpu_time.tv_nsec() as f64 / 1e6,
+        peak_kib,
     ))
 }
--- a/crates/emberpin-testbed/src/resources.rs
+++ b/crates/emberpin-testbed/src/resources.rs
@@ -6,10 +6,11 @@
 use nix::sys::resource::{getrlimit, setrlimit, Resource};
 use std::fmt;
 
-/// Memory of one limiter's process in MiB: twice the observed size.
+/// Estimated memory of one limiter's process in MiB: twice the size observed.
 const LIMITER_MIB: u64 = 14;
-/// Memory of the stand-ins in MiB.
+/// Estimated memory of the stand-ins in MiB.
 const BASE_MIB: u64 = 256;
+/// Estimated descriptors of the stand-ins that do not depend on the size of the site.
 const BASE_DESCRIPTORS: u64 = 256;
 /// Estimated client connections to one limiter.
 const CLIENT_CONNECTIONS_PER_LIMITER: u64 = 8;
@@ -17,18 +18,19 @@
 /// The resources that one run needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceNeeds {
-    /// Descriptors of the process that runs the stand-ins.
+    /// File descriptors of the process that runs the stand-ins.
     pub descriptors: u64,
     /// Memory of all processes, in MiB.
     pub memory_mib: u64,
 }
 
 impl ResourceNeeds {
-    /// Estimates the needs of a site. A server listens at one address per limiter, unless all limiters share one; links
-    /// connect all pairs of limiters or, in large groups, neighbours.
+    /// Estimates the needs of a site. Each server listens at one address per limiter, or at one for all limiters
+    /// (`one_address`). Links connect all pairs of limiters or, in groups larger than [`MAX_FULL_MESH`], neighbours
+    /// only.
     pub fn for_site(site: &Site, links: bool) -> ResourceNeeds {
         let (limiters, servers) = (site.limiters as u64, site.servers as u64);
-        let pairs = match links {
+        let link_descriptors = match links {
             false => 0,
             true if site.limiters <= MAX_FULL_MESH => 3 * limiters * limiters,
             // Two neighbours per power of four in the number of limiters.
@@ -39,20 +41,20 @@
             descriptors: BASE_DESCRIPTORS
                 + 2 * addresses * servers
                 + limiters * (4 + CLIENT_CONNECTIONS_PER_LIMITER)
-                + pairs,
+                + link_descriptors,
             memory_mib: BASE_MIB + LIMITER_MIB * limiters,
         }
     }
 
-    /// Checks that the machine provides the resources; raises the soft limit on descriptors if the hard limit allows
-    /// it.
+    /// Checks that the machine provides the resources. Raises the soft limit on file descriptors if it is too low and
+    /// the hard limit allows it.
     ///
     /// # Errors
     ///
-    /// [`ResourceError`], with the needed and the available amount.
+    /// [`ResourceError`] if a resource is too scarce, or if the limit on file descriptors cannot be read or raised.
     pub fn check(&self) -> Result<(), ResourceError> {
-        let limit = ResourceError::DescriptorLimit;
-        let (soft, hard) = getrlimit(Resource::RLIMIT_NOFILE).map_err(limit)?;
+        let limit_error = ResourceError::DescriptorLimit;
+        let (soft, hard) = getrlimit(Resource::RLIMIT_NOFILE).map_err(limit_error)?;
         if soft < self.descriptors {
             if hard < self.descriptors {
                 return Err(ResourceError::Descriptors {
@@ -60,7 +62,7 @@
                     available: hard,
                 });
             }
-            setrlimit(Resource::RLIMIT_NOFILE, self.descriptors, hard).map_err(limit)?;
+            setrlimit(Resource::RLIMIT_NOFILE, self.descriptors, hard).map_err(limit_error)?;
         }
         match available_mib() {
             Some(available) if available < self.memory_mib => Err(ResourceError::Memory {
--- a/crates/emberpin-testbed/src/schedule.rs
+++ b/crates/emberpin-testbed/src/schedule.rs
@@ -1,5 +1,5 @@
-//! The schedule of requests: drawn completely from the scenario and its seed before anything starts, so that the same
-//! seed gives the same schedule. Only retries depend on the responses.
+//! The schedule of requests. It is drawn completely from the scenario and its seed before the run starts, so that the
+//! same seed gives the same schedule. Only retries depend on the responses.
 
 use crate::figures::{Class, CLASSES, PLANS};
 use crate::scenario::{Fault, Scenario};
@@ -20,21 +20,21 @@
     pub account: u64,
     /// Index of the customer's plan.
     pub plan: usize,
-    /// The first limiter of the set that the customer uses.
+    /// The first limiter of the set that the customer uses; the set consists of limiters with consecutive numbers.
     pub first: usize,
     /// Number of limiters in the set.
     pub spread: usize,
     /// Weight of the customer in the total demand.
     weight: f64,
-    /// Phase of the shifts between its limiters, in shift intervals.
+    /// Phase of the customer's periodic shifts between its limiters, in shift intervals.
     phase: f64,
-    /// Times at which the customer moves to another limiter of its set at once.
+    /// Times at which a fault moves the customer to the next limiter of its set.
     moves: Vec<Micros>,
 }
 
 impl Customer {
-    /// The position, before reduction modulo [`spread`](Customer::spread), of the limiter that gets most of its
-    /// requests now.
+    /// The position in the customer's set of the limiter that gets most of its requests at this time, not yet reduced
+    /// modulo [`spread`](Customer::spread). `shift` is the interval of the periodic shifts.
     pub fn busiest_limiter(&self, at: Micros, shift: Micros) -> usize {
         let shift_count = (at as f64 / shift.max(1) as f64 + self.phase) as usize;
         let moves = self
@@ -57,7 +57,7 @@
     pub class: usize,
     /// Work in core milliseconds at reference speed.
     pub work: f64,
-    /// The number of the idempotency key: that of the repeated arrival, or its own.
+    /// The number of the idempotency key; an arrival that repeats another has the key of the other.
     pub key: u32,
     /// Time limit of each request.
     pub time_limit: Micros,
@@ -87,7 +87,7 @@
     pub arrivals: Vec<Arrival>,
     /// The core speed of each server.
     pub speeds: Vec<f64>,
-    /// Distinguishes the ids of this run on the wire.
+    /// A random prefix that distinguishes the ids of this run on the wire from those of other runs.
     pub run_tag: u32,
 }
 
@@ -116,12 +116,12 @@
         self.arrivals.get((request_id.0 / MAX_REQUESTS) as usize)
     }
 
-    /// The `Req-Id` of a request.
+    /// The `Req-Id` header of a request.
     pub fn id(&self, request_id: RequestId) -> String {
         format!("{:08x}{:08x}", self.run_tag, request_id.0)
     }
 
-    /// Parses a `Req-Id`; `None` if it is not of this run.
+    /// Parses a `Req-Id` header; `None` if it belongs to no arrival of this run.
     pub fn parse_id(&self, id: &str) -> Option<RequestId> {
         let (run_tag, number) = id.split_at_checked(8)?;
         let is_own = number.len() == 8 && u32::from_str_radix(run_tag, 16).ok()? == self.run_tag;
@@ -134,12 +134,13 @@
         self.parse_id(std::str::from_utf8(body.get(..16)?).ok()?)
     }
 
-    /// The `Idempotency-Key` of a key.
+    /// The `Idempotency-Key` header of the key with this number.
     pub fn key(&self, key: u32) -> String {
         format!("{:08x}{key:024x}", self.run_tag)
     }
 }
 
+/// The mean number of quota units that a request takes.
 fn mean_units(scenario: &Scenario) -> f64 {
     let load = &scenario.load;
     let status = 1.0 - load.submit - load.release;
@@ -180,14 +181,14 @@
 
 fn arrivals(scenario: &Scenario, customers: &[Customer], rng: &mut ChaCha8Rng) -> Vec<Arrival> {
     let total: f64 = customers.iter().map(|customer| customer.weight).sum();
-    let mut ends = Vec::with_capacity(customers.len());
+    let mut cumulative_weights = Vec::with_capacity(customers.len());
     let mut sum = 0.0;
     for customer in customers {
         sum += customer.weight / total;
-        ends.push(sum);
+        cumulative_weights.push(sum);
     }
     let load_factor = |at: Micros| -> f64 {
-        let in_force = scenario
+        let active_factors = scenario
             .faults
             .iter()
             .filter_map(|timed| match timed.fault {
@@ -198,25 +199,26 @@
                 }
                 _ => None,
             });
-        in_force.product()
+        active_factors.product()
     };
     let mut arrivals = Vec::new();
-    // Arrival times by thinning: drawn at the maximum rate, and kept in proportion to the current rate.
-    let edges = scenario.faults.iter().map(|timed| timed.at).chain([0]);
-    let max = edges.map(load_factor).fold(1.0, f64::max);
+    // Arrival times by thinning: drawn at the maximum rate, and kept with the probability (current rate / maximum
+    // rate). The maximum is that of the rates at time 0 and at the start of each fault.
+    let change_times = scenario.faults.iter().map(|timed| timed.at).chain([0]);
+    let max_factor = change_times.map(load_factor).fold(1.0, f64::max);
     let mut at = 0.0;
     loop {
-        at += exponential(1.0 / (scenario.load.rate * max), rng);
+        at += exponential(1.0 / (scenario.load.rate * max_factor), rng);
         let now = (at * SECOND as f64) as Micros;
         if now >= scenario.length {
             break;
         }
-        if rng.random::<f64>() * max >= load_factor(now) {
+        if rng.random::<f64>() * max_factor >= load_factor(now) {
             continue;
         }
         let roll: f64 = rng.random();
-        let customer = ends
-            .partition_point(|end| *end < roll)
+        let customer = cumulative_weights
+            .partition_point(|weight| *weight < roll)
             .min(customers.len() - 1);
         arrivals.push(arrival(scenario, customers, customer, now, rng));
     }
@@ -277,9 +279,10 @@
     };
     let [min, max] = load.time_limit;
     let time_limit = CLASSES[class].deadline as f64 * (min + (max - min) * rng.random::<f64>());
-    // Log-normal with mean 1 and the coefficient of variation 0.8 that the users state.
+    // Log-normal with mean 1 and a coefficient of variation of 0.8, the value that the users state.
     let variance = (1.0f64 + 0.8 * 0.8).ln();
-    let heaviness = LogNormal::new(-variance / 2.0, variance.sqrt()).map_or(1.0, |d| d.sample(rng));
+    let work_factor =
+        LogNormal::new(-variance / 2.0, variance.sqrt()).map_or(1.0, |d| d.sample(rng));
     let busiest_limiter =
         customers[customer].busiest_limiter(at, (load.shift_s * SECOND as f64) as Micros);
     let offset = if rng.random_bool(0.7) {
@@ -291,7 +294,7 @@
         at,
         customer: customer as u32,
         class,
-        work: CLASSES[class].work * load.work * heaviness.min(MAX_WORK_FACTOR),
+        work: CLASSES[class].work * load.work * work_factor.min(MAX_WORK_FACTOR),
         key: 0,
         time_limit: time_limit as Micros,
         limiter_index: (busiest_limiter + offset) % customers[customer].spread,
@@ -327,7 +330,7 @@
             });
         }
     }
-    // Keys keep the index that the arrival had when it was drawn; the indices after sorting only number requests.
+    // An arrival's key stays its index from before this sort; the new index only determines the ids of its requests.
     arrivals.append(&mut repeats);
     arrivals.sort_by_key(|arrival| arrival.at);
 }
@@ -342,7 +345,7 @@
 
     fn scenario(text: &str) -> Scenario {
         let head = "name = \"t\"\nabout = \"t\"\nseed = 5\nseconds = 20\n";
-        Scenario::parse("t", &format!("{head}{text}")).expect("sound")
+        Scenario::parse("t", &format!("{head}{text}")).expect("valid scenario")
     }
 
     #[test]
@@ -402,7 +405,7 @@
             .customers
             .iter()
             .position(|c| c.plan == 1)
-            .expect("one") as u32;
+            .expect("a customer of plan 1") as u32;
         let own = drawn.arrivals.iter().filter(|a| a.customer == customer);
         let units: f64 = own.map(|a| a.class().units).sum();
         assert!((2400.0..4600.0).contains(&units), "{units}");
--- a/crates/emberpin-testbed/src/servers.rs
+++ b/crates/emberpin-testbed/src/servers.rs
@@ -369,13 +369,13 @@
 
 impl Process {
     /// Stalls the server or resumes it.
-    pub fn set_stalled(&self, on: bool) {
-        self.stalled.send_replace(on);
+    pub fn set_stalled(&self, stalled: bool) {
+        self.stalled.send_replace(stalled);
     }
 
     /// Refuses new connections or accepts them again.
-    pub fn set_refusing(&self, on: bool) {
-        self.refusing.send_replace(on);
+    pub fn set_refusing(&self, refusing: bool) {
+        self.refusing.send_replace(refusing);
     }
 
     /// Stops listening at the addresses before the current ones.
--- a/crates/emberpin-testbed/src/settings.rs
+++ b/crates/emberpin-testbed/src/settings.rs
@@ -1,4 +1,4 @@
-//! The limiter's settings with the classes, plans and rules of the stand-in site.
+//! The settings that limiters get: the classes, plans and rules of the simulated site.
 
 use crate::figures::{
     hall_name, Class, Plan, Repeat, CLASSES, DEDUP_WINDOW, DRAIN_GRACE, MAX_RETRY_AFTER,
@@ -31,13 +31,13 @@
         })
     };
     let halls: Vec<String> = (0..site.halls).map(hall_name).collect();
-    let size = if site.configured_limiters == 0 {
+    let group_size = if site.configured_limiters == 0 {
         site.limiters
     } else {
         site.configured_limiters
     };
     json!({
-        "my-number": number, "group-size": size, "zone": halls[number % site.halls],
+        "my-number": number, "group-size": group_size, "zone": halls[number % site.halls],
         "failure-domains": halls, "kinds": ["std-2c"],
         "profiles": CLASSES.iter().map(class).collect::<Vec<_>>(),
         "plans": PLANS.iter().map(plan).collect::<Vec<_>>(),
--- a/crates/emberpin-testbed/src/site.rs
+++ b/crates/emberpin-testbed/src/site.rs
@@ -1,5 +1,5 @@
 //! One run of a scenario: starts the site, sends the load and injects the faults, shuts everything down, and checks
-//! the trace. Its duration is bounded by the scenario's length, the time for pending work and the shutdown.
+//! the trace. A run takes at most the scenario's length, `COMPLETION_TIME` and the time of the shutdown.
 
 mod fault_injection;
 
@@ -26,12 +26,14 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{interval, sleep_until, Instant, MissedTickBehavior};
 
-/// The stand-ins count as late if one of their own timers is late by more than this, half of the rules' tolerance.
+/// The stand-ins count as late if one of their own timers fires later than this: half of the timing tolerance of the
+/// invariant checker.
 const LATENESS_THRESHOLD: Duration = Duration::from_millis(25);
+/// Interval of the timer that measures the lateness of the stand-ins, and of polling for the state of processes.
 const TICK: Duration = Duration::from_millis(5);
-/// Interval at which limiters are measured and progress is reported.
+/// Interval at which the limiters' resource usage is measured and progress is reported.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for pending work after the end of the load: the longest deadline, and retries.
+/// Maximum time for pending work after the end of the load: covers the longest deadline and retries.
 const COMPLETION_TIME: Duration = Duration::from_secs(6);
 
 /// The result of a run.
@@ -44,7 +46,7 @@
     pub verdict: Verdict,
     /// Resource usage by limiter.
     pub usage: Vec<Usage>,
-    /// Memory and processor time of each limiter over time.
+    /// Samples of the limiters' resource usage, in order of time.
     pub samples: Vec<Sample>,
     /// Whether the run was cut short because the trace was full.
     pub cut_short: bool,
@@ -64,13 +66,13 @@
 pub struct Progress {
     /// Time since the start of the run.
     pub at: Micros,
-    /// Arrivals started so far.
+    /// Number of arrivals started so far.
     pub started_work: usize,
-    /// Arrivals not finished yet.
+    /// Number of arrivals started and not finished yet.
     pub open_work: usize,
 }
 
-/// Runs a scenario with this program as the limiters, on a runtime of its own.
+/// Runs a scenario with this program as the limiters, on a new runtime.
 ///
 /// # Errors
 ///
@@ -86,7 +88,7 @@
     let runtime = runtime.map_err(SiteError::Runtime)?;
     LocalSet::new().block_on(
         &runtime,
-        play(scenario.clone(), program.clone(), Rc::new(progress)),
+        run_async(scenario.clone(), program.clone(), Rc::new(progress)),
     )
 }
 
@@ -94,9 +96,11 @@
 struct Folder(PathBuf);
 
 impl Folder {
-    fn make(number: u32) -> Result<Folder, SiteError> {
-        let path =
-            std::env::temp_dir().join(format!("emberpin-testbed-{}-{number}", std::process::id()));
+    fn create(run_number: u32) -> Result<Folder, SiteError> {
+        let path = std::env::temp_dir().join(format!(
+            "emberpin-testbed-{}-{run_number}",
+            std::process::id()
+        ));
         match std::fs::create_dir_all(&path) {
             Ok(()) => Ok(Folder(path)),
             Err(source) => Err(SiteError::Folder { path, source }),
@@ -110,11 +114,11 @@
     }
 }
 
-/// A loopback address for this run alone, derived from the process id and the number of the run.
-fn loopback_host(number: u32) -> Ipv4Addr {
+/// A loopback address that only this run uses, derived from the process id and the number of the run in this process.
+fn loopback_host(run_number: u32) -> Ipv4Addr {
     let pid = std::process::id();
-    let part = |value: u32| (1 + value % 250) as u8;
-    Ipv4Addr::new(127, part(pid / 250), part(pid), part(number))
+    let octet = |value: u32| (1 + value % 250) as u8;
+    Ipv4Addr::new(127, octet(pid / 250), octet(pid), octet(run_number))
 }
 
 /// A running site: the stand-ins and the limiters.
@@ -126,25 +130,31 @@
     /// The links between limiters, if the program uses them.
     links: Option<PeerLinks>,
     limiters: Vec<Rc<Limiter>>,
-    /// For each limiter, a lock held by the fault that currently kills, restarts or stops its process.
+    /// For each limiter, a lock that is held while its process is killed, restarted or shut down, so that faults at the
+    /// same limiter take turns.
     process_locks: Vec<Mutex<()>>,
     clients: Rc<Clients>,
-    /// The error of a restart that failed after a fault; it ends the run.
-    problem: RefCell<Option<SiteError>>,
+    /// An error during the run, such as a failed restart after a fault; it ends the run.
+    fatal_error: RefCell<Option<SiteError>>,
     /// Whether the site is shutting down, so that nothing is started any more.
     shutting_down: Cell<bool>,
 }
 
-async fn play(
+async fn run_async(
     scenario: Scenario,
     program: Program,
     progress: Rc<dyn Fn(Progress)>,
 ) -> Result<Outcome, SiteError> {
-    static NEXT: AtomicU32 = AtomicU32::new(1);
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    let folder = Folder::make(number)?;
-    let running =
-        RunningSite::start(scenario.clone(), program, &folder, loopback_host(number)).await?;
+    static NEXT_RUN_NUMBER: AtomicU32 = AtomicU32::new(1);
+    let run_number = NEXT_RUN_NUMBER.fetch_add(1, Ordering::Relaxed);
+    let folder = Folder::create(run_number)?;
+    let running = RunningSite::start(
+        scenario.clone(),
+        program,
+        &folder,
+        loopback_host(run_number),
+    )
+    .await?;
     let world = &running.world;
 
     world.recorder.restart_clock();
@@ -208,14 +218,14 @@
         if (Instant::now() >= end && finished) || Instant::now() >= deadline || cut_short {
             break;
         }
-        if running.problem.borrow().is_some() {
+        if running.fatal_error.borrow().is_some() {
             break;
         }
     }
     load.abort();
     running.shut_down().await;
-    if let Some(problem) = running.problem.borrow_mut().take() {
-        return Err(problem);
+    if let Some(error) = running.fatal_error.borrow_mut().take() {
+        return Err(error);
     }
     let usage = running
         .limiters
@@ -257,8 +267,8 @@
 }
 
 impl RunningSite {
-    /// Starts all parts of the site without any load. If all limiters start together with the load, servers and
-    /// limiters are left to the caller.
+    /// Starts all parts of the site without any load. With `start_together`, servers and limiters are only created: the
+    /// caller starts them together with the load.
     async fn start(
         scenario: Scenario,
         program: Program,
@@ -336,7 +346,7 @@
             process_locks: limiters.iter().map(|_| Mutex::new(())).collect(),
             limiters,
             clients,
-            problem: RefCell::default(),
+            fatal_error: RefCell::default(),
             shutting_down: Cell::new(false),
         });
         let started_before_load = if site.start_together {
@@ -356,6 +366,7 @@
         Ok(running)
     }
 
+    /// Starts a limiter. Returns `false` if a fault killed it before it was ready.
     async fn start_limiter(&self, number: usize) -> Result<bool, SiteError> {
         let limiter = &self.limiters[number];
         let peers = self
@@ -368,7 +379,7 @@
         Ok(limiter.start(config).await?)
     }
 
-    /// Splits both networks between the limiters, or heals them.
+    /// Splits both the datagram network and the links between the limiters, or heals them.
     fn set_peer_split(&self, split: Option<NetworkSplit>) {
         self.peers.set_split(split.clone());
         if let Some(links) = &self.links {
@@ -383,9 +394,9 @@
         }
         match self.start_limiter(number).await {
             Ok(true) => self.clients.mark_up(number),
-            // The fault that killed it restarts it.
+            // Killed while it started; the fault that killed it restarts it.
             Ok(false) => {}
-            Err(problem) => *self.problem.borrow_mut() = Some(problem),
+            Err(error) => *self.fatal_error.borrow_mut() = Some(error),
         }
     }
 
@@ -403,7 +414,7 @@
         }
     }
 
-    /// Records when the stand-ins' own timers fire late, since they may then cause the delays that they observe.
+    /// Records when the stand-ins' own timers fire late: delays observed at such times may be due to the stand-ins.
     async fn record_lateness(self: Rc<Self>) {
         loop {
             let due = Instant::now() + TICK;
--- a/crates/emberpin-testbed/src/site/fault_injection.rs
+++ b/crates/emberpin-testbed/src/site/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Injects the faults of a scenario into a running site, and ends them.
+//! Injects the faults of a scenario into a running site, and ends them when their time is over.
 
 use super::{RunningSite, TICK};
 use crate::error::{SiteError, StandIn};
@@ -11,9 +11,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// How long a server keeps draining after all limiters were notified, to finish the requests that it has.
+/// How long a server keeps draining after all limiters were notified, to finish its pending requests.
 const DRAIN_REMAINDER: Duration = Duration::from_millis(900);
-/// The longest that a draining server waits for the requests that it has.
+/// Maximum further time that a draining server gets to finish its pending requests.
 const MAX_DRAIN: Duration = Duration::from_secs(4);
 /// The pause between the end of a replaced server and the start of its successor.
 const SUCCESSOR_DELAY: Duration = Duration::from_millis(200);
@@ -24,9 +24,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FaultEnd {
     /// The fault took effect and ended.
-    ConnectionEnd,
+    Recorded,
     /// The fault had no effect that could end, or its end is not recorded.
-    Silent,
+    NotRecorded,
 }
 
 fn duration(length: Micros) -> Duration {
@@ -64,11 +64,11 @@
             // Already part of the schedule; only their duration passes here.
             Fault::CustomerFloods { length, .. } | Fault::LoadSpike { length, .. } => {
                 sleep(duration(*length)).await;
-                FaultEnd::ConnectionEnd
+                FaultEnd::Recorded
             }
-            Fault::CustomersMove { .. } => FaultEnd::Silent,
+            Fault::CustomersMove { .. } => FaultEnd::NotRecorded,
         };
-        if end == FaultEnd::ConnectionEnd {
+        if end == FaultEnd::Recorded {
             self.record_fault(format!("over: {fault}"));
         }
     }
@@ -90,7 +90,7 @@
                 disk_fault,
             } => {
                 self.wait_for_disk_fault(*limiter, disk_fault).await;
-                return FaultEnd::Silent;
+                return FaultEnd::NotRecorded;
             }
             Fault::LimiterStopsAtPoint {
                 limiter,
@@ -108,7 +108,8 @@
                 count,
                 restart_after,
             } => {
-                self.kill_callers(*count, duration(*restart_after)).await;
+                self.kill_discovery_callers(*count, duration(*restart_after))
+                    .await;
             }
             Fault::LimitersKilled {
                 count,
@@ -116,9 +117,9 @@
             } => {
                 self.kill_limiters(*count, duration(*restart_after)).await;
             }
-            _ => return FaultEnd::Silent,
+            _ => return FaultEnd::NotRecorded,
         }
-        FaultEnd::ConnectionEnd
+        FaultEnd::Recorded
     }
 
     async fn inject_at_servers(&self, fault: &Fault) -> FaultEnd {
@@ -136,8 +137,8 @@
                 Some(())
             }
             Fault::ServerStalled { server, length } => {
-                let set = |process: &Process, stalls| process.set_stalled(stalls);
-                self.disturb_server(*server, *length, set).await
+                let set_faulty = |process: &Process, stalled| process.set_stalled(stalled);
+                self.make_server_faulty(*server, *length, set_faulty).await
             }
             Fault::ServerResponsesFaulty {
                 server,
@@ -145,14 +146,14 @@
                 share,
                 length,
             } => {
-                let set = |process: &Process, spoils: bool| {
-                    process.set_response_fault(spoils.then_some((*response_fault, *share)));
+                let set_faulty = |process: &Process, faulty: bool| {
+                    process.set_response_fault(faulty.then_some((*response_fault, *share)));
                 };
-                self.disturb_server(*server, *length, set).await
+                self.make_server_faulty(*server, *length, set_faulty).await
             }
             Fault::ServerRefuses { server, length } => {
-                let set = |process: &Process, refuses| process.set_refusing(refuses);
-                self.disturb_server(*server, *length, set).await
+                let set_faulty = |process: &Process, refusing| process.set_refusing(refusing);
+                self.make_server_faulty(*server, *length, set_faulty).await
             }
             Fault::ServerMoved { server } => self.move_server(*server).await,
             Fault::ZoneLost {
@@ -164,7 +165,7 @@
             }
             _ => None,
         };
-        injected.map_or(FaultEnd::Silent, |()| FaultEnd::ConnectionEnd)
+        injected.map_or(FaultEnd::NotRecorded, |()| FaultEnd::Recorded)
     }
 
     async fn inject_at_links(&self, fault: &Fault) -> FaultEnd {
@@ -212,9 +213,9 @@
                 sleep(duration(*length)).await;
                 self.peers.set_loss(0.0, Duration::ZERO);
             }
-            _ => return FaultEnd::Silent,
+            _ => return FaultEnd::NotRecorded,
         }
-        FaultEnd::ConnectionEnd
+        FaultEnd::Recorded
     }
 
     async fn inject_at_discovery(&self, fault: &Fault) -> FaultEnd {
@@ -239,14 +240,14 @@
                 sleep(duration(*length)).await;
                 discovery.set_list_fault(None);
             }
-            _ => return FaultEnd::Silent,
+            _ => return FaultEnd::NotRecorded,
         }
-        FaultEnd::ConnectionEnd
+        FaultEnd::Recorded
     }
 
     // ---- limiters
 
-    /// Kills a limiter, which starts again after a while.
+    /// Kills a limiter and restarts it after `restart_after`.
     async fn kill_limiter(&self, number: usize, restart_after: Duration) {
         let _lock = self.process_locks[number].lock().await;
         self.clients.mark_down(number);
@@ -255,7 +256,8 @@
         self.restart(number).await;
     }
 
-    /// Kills a limiter that may still be starting, then kills it again under its lock and restarts it.
+    /// Kills a limiter that may still be starting. A start holds the limiter's process lock, so the first kill does not
+    /// wait for the lock; it ends the start. The second kill takes the lock and restarts the limiter.
     async fn kill_starting_limiter(&self, number: usize, restart_after: Duration) {
         self.clients.mark_down(number);
         self.limiters[number].kill().await;
@@ -292,7 +294,8 @@
         self.record_fault(format!("the disk of limiter {number} lies: {disk_fault}"));
     }
 
-    /// Waits until the limiter stops itself at a point of its code, then kills it or resumes it after a while.
+    /// Waits until the limiter stops itself at a point of its code, then kills it or resumes it after
+    /// `length`.
     async fn stop_limiter_at(
         &self,
         number: usize,
@@ -303,7 +306,7 @@
         let limiter = &self.limiters[number];
         while !limiter.is_paused() {
             if self.shutting_down.get() {
-                return FaultEnd::Silent;
+                return FaultEnd::NotRecorded;
             }
             sleep(TICK).await;
         }
@@ -313,48 +316,49 @@
             Some(restart_after) => self.kill_limiter(number, restart_after).await,
             None => limiter.set_paused(false),
         }
-        FaultEnd::ConnectionEnd
+        FaultEnd::Recorded
     }
 
-    /// Kills the next limiters that call the discovery service, each as it calls, and restarts them.
-    async fn kill_callers(self: Rc<Self>, count: usize, restart_after: Duration) {
+    /// Kills the next `count` limiters that call the discovery service, each during its call, and restarts them.
+    async fn kill_discovery_callers(self: Rc<Self>, count: usize, restart_after: Duration) {
         let mut calls = self.discovery.subscribe_to_calls();
-        let mut killing = Vec::new();
-        while let (true, Some(number)) = (killing.len() < count, calls.recv().await) {
+        let mut kill_tasks = Vec::new();
+        while let (true, Some(number)) = (kill_tasks.len() < count, calls.recv().await) {
             let site = self.clone();
-            killing.push(spawn_local(async move {
+            kill_tasks.push(spawn_local(async move {
                 site.kill_starting_limiter(number, restart_after).await;
             }));
         }
-        for killed in killing {
-            _ = killed.await;
+        for task in kill_tasks {
+            _ = task.await;
         }
     }
 
+    /// Kills the first `count` limiters at the same time, and restarts them.
     async fn kill_limiters(self: Rc<Self>, count: usize, restart_after: Duration) {
         let kill = |number| {
             let site = self.clone();
             spawn_local(async move { site.kill_limiter(number, restart_after).await })
         };
-        let killing: Vec<_> = (0..count).map(kill).collect();
-        for killed in killing {
-            _ = killed.await;
+        let kill_tasks: Vec<_> = (0..count).map(kill).collect();
+        for task in kill_tasks {
+            _ = task.await;
         }
     }
 
     // ---- servers
 
-    /// Makes a server's process faulty for a while; `None` if it does not run.
-    async fn disturb_server(
+    /// Makes a server's process faulty for this time with `set_faulty`; `None` if the server is not running.
+    async fn make_server_faulty(
         &self,
         server: usize,
         length: Micros,
-        set: impl Fn(&Process, bool),
+        set_faulty: impl Fn(&Process, bool),
     ) -> Option<()> {
         let process = self.servers[server].process()?;
-        set(&process, true);
+        set_faulty(&process, true);
         sleep(duration(length)).await;
-        set(&process, false);
+        set_faulty(&process, false);
         Some(())
     }
 
@@ -418,7 +422,7 @@
 
     /// Ends the run with this error.
     fn fail(&self, error: SiteError) {
-        *self.problem.borrow_mut() = Some(error);
+        *self.fatal_error.borrow_mut() = Some(error);
     }
 
     /// Starts a server cold with its current id, unless it runs or the site is shutting down.
@@ -432,12 +436,12 @@
         }
     }
 
-    /// The time until all limiters have been notified of a change.
+    /// The maximum time until all limiters have been notified of a change.
     fn notification_time(&self) -> Duration {
         Duration::from_secs_f64(self.world.scenario.site.notice_ms[1] / 1000.0)
     }
 
-    /// Drains a server, ends its process once it is idle or [`MAX_DRAIN`] is over, and starts a successor at the same
+    /// Drains a server, kills its process once it is idle or [`MAX_DRAIN`] is over, and starts a successor at the same
     /// addresses.
     async fn replace_server(&self, server: &Rc<Server>) {
         let Some(process) = server.process() else {
@@ -445,8 +449,8 @@
         };
         self.discovery.announce(server, ServerState::Draining);
         sleep(self.notification_time() + DRAIN_REMAINDER).await;
-        let latest = Instant::now() + MAX_DRAIN;
-        while !process.is_idle() && Instant::now() < latest {
+        let drain_deadline = Instant::now() + MAX_DRAIN;
+        while !process.is_idle() && Instant::now() < drain_deadline {
             sleep(TICK).await;
         }
         server.kill().await;
--- a/crates/emberpin-testbed/src/start_summary.rs
+++ b/crates/emberpin-testbed/src/start_summary.rs
@@ -1,5 +1,5 @@
-//! The summary of a simultaneous start of many limiters: calls of the discovery service, when limiters had the
-//! endpoint list, the load on cold servers, and the work served in each second.
+//! Summary of a simultaneous start of many limiters: calls to the discovery service, the times at which limiters got
+//! the endpoint list, the load on cold servers, and the work served in each second.
 
 use crate::figures::{OVERLOAD_MULTIPLE, OVERLOAD_WINDOW};
 use crate::schedule::MAX_REQUESTS;
@@ -8,46 +8,47 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Figures of one start; times are in seconds since the start of the run.
+/// Measurements of one simultaneous start; times are in seconds since the start of the run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Starts {
+pub struct StartSummary {
     /// Calls to the discovery service.
     pub calls: u64,
     /// Calls that failed because the service was overloaded or dead.
     pub failed: u64,
-    /// Maximum number of calls within 100 ms, and within a second.
+    /// Maximum number of calls within 100 ms, and within 1 s.
     pub most_calls: [u64; 2],
-    /// When half, 99 % and all of the limiters had the endpoint list; `None` if that was never reached.
+    /// When 50 %, 99 % and 100 % of the limiters had the endpoint list; `None` if that share was never reached.
     pub listed: [Option<f64>; 3],
-    /// When half and all of the limiters were ready.
+    /// When 50 % and 100 % of the limiters were ready; `None` if that share was never reached.
     pub ready: [Option<f64>; 2],
     /// Maximum number of new connections to one server within a second.
     pub most_connections: u64,
     /// Maximum work sent to a cold server within [`OVERLOAD_WINDOW`], as a share of the work that overloads it.
-    pub nearest_to_falling: f64,
-    /// For each second of the run: pieces of work first requested in it, and those of them served within their latency
-    /// target.
+    #[serde(rename = "nearest_to_falling")]
+    pub max_overload_ratio: f64,
+    /// For each second of the run: how many pieces of work arrived in it, and how many of these were served within
+    /// their latency target. Work that a client cancelled is left out.
     pub seconds: Vec<(u64, u64)>,
     /// Processor time of all limiters, in milliseconds.
     pub cpu_ms: f64,
-    /// Largest resident sets of all limiters, in MiB.
+    /// Sum of the largest resident sets of all limiters, in MiB.
     pub memory_mib: f64,
 }
 
-impl Starts {
-    /// Summarises a run.
-    pub fn from_outcome(outcome: &Outcome) -> Starts {
+impl StartSummary {
+    /// Computes the summary of a run.
+    pub fn from_outcome(outcome: &Outcome) -> StartSummary {
         let limiters = outcome.scenario.site.limiters;
         let events = &outcome.events;
-        let times = |selects: fn(&EventKind) -> bool| -> Vec<Micros> {
+        let times_of = |matches_kind: fn(&EventKind) -> bool| -> Vec<Micros> {
             events
                 .iter()
-                .filter(|event| selects(&event.kind))
+                .filter(|event| matches_kind(&event.kind))
                 .map(|event| event.at)
                 .collect()
         };
-        let calls = times(|kind| matches!(kind, EventKind::DiscoveryCalled { .. }));
-        let failed = times(|kind| {
+        let calls = times_of(|kind| matches!(kind, EventKind::DiscoveryCalled { .. }));
+        let failed = times_of(|kind| {
             matches!(
                 kind,
                 EventKind::DiscoveryCallEnded {
@@ -67,25 +68,25 @@
             EventKind::LimiterReady { limiter } => Some(*limiter),
             _ => None,
         });
-        let part = |times: &[f64], share: f64| {
+        let time_of_share = |times: &[f64], share: f64| {
             let needed = (share * limiters as f64).ceil() as usize;
             needed
                 .checked_sub(1)
                 .and_then(|last| times.get(last))
                 .copied()
         };
-        Starts {
+        StartSummary {
             calls: calls.len() as u64,
             failed: failed.len() as u64,
             most_calls: [
-                most_within(&calls, SECOND / 10),
-                most_within(&calls, SECOND),
+                max_count_within(&calls, SECOND / 10),
+                max_count_within(&calls, SECOND),
             ],
-            listed: [0.5, 0.99, 1.0].map(|share| part(&listed, share)),
-            ready: [0.5, 1.0].map(|share| part(&ready, share)),
+            listed: [0.5, 0.99, 1.0].map(|share| time_of_share(&listed, share)),
+            ready: [0.5, 1.0].map(|share| time_of_share(&ready, share)),
             most_connections: most_connections(events),
-            nearest_to_falling: nearest_to_falling(events),
-            seconds: by_second(outcome),
+            max_overload_ratio: max_overload_ratio(events),
+            seconds: work_by_second(outcome),
             cpu_ms: outcome.usage.iter().map(|usage| usage.cpu_ms).sum(),
             memory_mib: outcome
                 .usage
@@ -95,18 +96,20 @@
         }
     }
 
-    /// Share of the work requested from second `from` to before second `to` that was served in time.
-    pub fn served(&self, from: usize, to: usize) -> f64 {
+    /// Of the work that arrived from second `from` until before second `to`, the share that was served in time.
+    pub fn served_share(&self, from: usize, to: usize) -> f64 {
         let span = self.seconds.iter().skip(from).take(to.saturating_sub(from));
-        let (asked, served) = span.fold((0, 0), |sum, second| (sum.0 + second.0, sum.1 + second.1));
-        served as f64 / (asked as f64).max(1.0)
+        let (arrived, served) =
+            span.fold((0, 0), |sum, second| (sum.0 + second.0, sum.1 + second.1));
+        served as f64 / (arrived as f64).max(1.0)
     }
 }
 
-/// The time of each limiter's first matching event in seconds, in order.
-fn first_times(events: &[Event], selects: impl Fn(&EventKind) -> Option<usize>) -> Vec<f64> {
+/// For each limiter that `limiter_of` returns for an event, the time of its first such event in seconds, in order.
+fn first_times(events: &[Event], limiter_of: impl Fn(&EventKind) -> Option<usize>) -> Vec<f64> {
     let mut seen = BTreeSet::new();
-    let first = |event: &&Event| selects(&event.kind).is_some_and(|limiter| seen.insert(limiter));
+    let first =
+        |event: &&Event| limiter_of(&event.kind).is_some_and(|limiter| seen.insert(limiter));
     events
         .iter()
         .filter(first)
@@ -114,8 +117,8 @@
         .collect()
 }
 
-/// The maximum number of these ordered times that lie within one span.
-fn most_within(times: &[Micros], span: Micros) -> u64 {
+/// The maximum number of these ordered times that lie within a period of length `span`.
+fn max_count_within(times: &[Micros], span: Micros) -> u64 {
     let mut from = 0;
     let counts = times.iter().enumerate().map(|(to, at)| {
         while at - times[from] >= span {
@@ -126,6 +129,7 @@
     counts.max().unwrap_or(0) as u64
 }
 
+/// Computes [`StartSummary::most_connections`].
 fn most_connections(events: &[Event]) -> u64 {
     let mut by_incarnation: BTreeMap<Incarnation, Vec<Micros>> = BTreeMap::new();
     for event in events {
@@ -138,43 +142,44 @@
     }
     by_incarnation
         .values()
-        .map(|times| most_within(times, SECOND))
+        .map(|times| max_count_within(times, SECOND))
         .max()
         .unwrap_or(0)
 }
 
-/// Compares the work of the last [`OVERLOAD_WINDOW`] with [`OVERLOAD_MULTIPLE`] times what the server can do now.
-fn nearest_to_falling(events: &[Event]) -> f64 {
-    struct Cold {
-        up: Micros,
+/// Computes [`StartSummary::max_overload_ratio`]. A cold server is overloaded when the work that it received in the
+/// last [`OVERLOAD_WINDOW`] reaches [`OVERLOAD_MULTIPLE`] times what it can do in that time at its current capacity.
+fn max_overload_ratio(events: &[Event]) -> f64 {
+    struct ColdServer {
+        started_at: Micros,
         capacity: f64,
-        from: f64,
+        initial_share: f64,
         warm_after: Micros,
         work: VecDeque<(Micros, f64)>,
-        sum: f64,
+        work_sum: f64,
     }
-    let mut cold: BTreeMap<Incarnation, Cold> = BTreeMap::new();
+    let mut cold: BTreeMap<Incarnation, ColdServer> = BTreeMap::new();
     let mut incarnation_of_attempt = BTreeMap::new();
-    let mut nearest = 0.0f64;
+    let mut max_ratio = 0.0f64;
     for event in events {
         match event.kind {
             EventKind::ServerStarted {
                 incarnation,
                 capacity,
-                cold_from: from,
+                cold_from: initial_share,
                 warm_after,
                 ..
             } if warm_after > 0 => {
-                let (up, work) = (event.at, VecDeque::new());
+                let (started_at, work) = (event.at, VecDeque::new());
                 cold.insert(
                     incarnation,
-                    Cold {
-                        up,
+                    ColdServer {
+                        started_at,
                         capacity,
-                        from,
+                        initial_share,
                         warm_after,
                         work,
-                        sum: 0.0,
+                        work_sum: 0.0,
                     },
                 );
             }
@@ -190,33 +195,34 @@
                 else {
                     continue;
                 };
-                let age = event.at - server.up;
+                let age = event.at - server.started_at;
                 if age >= server.warm_after {
                     continue;
                 }
                 server.work.push_back((event.at, work));
-                server.sum += work;
+                server.work_sum += work;
                 while server
                     .work
                     .front()
                     .is_some_and(|(at, _)| event.at - at >= OVERLOAD_WINDOW)
                 {
-                    server.sum -= server.work.pop_front().map_or(0.0, |(_, work)| work);
+                    server.work_sum -= server.work.pop_front().map_or(0.0, |(_, work)| work);
                 }
-                let warmth =
-                    server.from + (1.0 - server.from) * age as f64 / server.warm_after as f64;
-                let overload =
-                    OVERLOAD_MULTIPLE * server.capacity * warmth * OVERLOAD_WINDOW as f64 / 1000.0;
-                nearest = nearest.max(server.sum / overload);
+                let capacity_share = server.initial_share
+                    + (1.0 - server.initial_share) * age as f64 / server.warm_after as f64;
+                let overload_work =
+                    OVERLOAD_MULTIPLE * server.capacity * capacity_share * OVERLOAD_WINDOW as f64
+                        / 1000.0;
+                max_ratio = max_ratio.max(server.work_sum / overload_work);
             }
             _ => {}
         }
     }
-    nearest
+    max_ratio
 }
 
-/// For each second: pieces of work first requested in it, and those of them served within their latency target.
-fn by_second(outcome: &Outcome) -> Vec<(u64, u64)> {
+/// Computes [`StartSummary::seconds`].
+fn work_by_second(outcome: &Outcome) -> Vec<(u64, u64)> {
     let schedule = crate::schedule::Schedule::draw(&outcome.scenario);
     let count = outcome.scenario.length.div_ceil(SECOND) as usize;
     let mut seconds = vec![(0, 0); count];
@@ -255,7 +261,7 @@
 
     #[test]
     fn the_maximum_within_a_span_excludes_its_end() {
-        assert_eq!(most_within(&[0, 10, 99, 100, 250], 100), 3);
-        assert_eq!(most_within(&[], 100), 0);
+        assert_eq!(max_count_within(&[0, 10, 99, 100, 250], 100), 3);
+        assert_eq!(max_count_within(&[], 100), 0);
     }
 }
--- a/crates/emberpin-testbed/src/trace.rs
+++ b/crates/emberpin-testbed/src/trace.rs
@@ -1,6 +1,7 @@
 //! The trace of a run: events observed on the sockets of clients and servers, and notifications sent to limiters.
-//! It is the only input of the invariant checker. One process runs all stand-ins, so that a single monotonic clock
-//! stamps every event; no time comes from a limiter's clock, and there is no clock skew.
+//! It is the only input of the invariant checker. One process runs all stand-ins (the simulated clients, servers,
+//! discovery service and networks around the limiters), so that all timestamps come from one monotonic clock, without
+//! clock skew; none comes from a limiter's clock.
 
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
@@ -22,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct RequestId(pub u32);
 
-/// Identifies one attempt of a limiter at a server, numbered over all servers.
+/// Identifies one attempt: a request that a limiter sends to a server. Numbered over all servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct AttemptId(pub u32);
 
@@ -44,11 +45,11 @@
 /// How an attempt ended at its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum AttemptEnd {
-    /// Declined, and the response that says so was written completely: the attempt never ran.
+    /// The server declined the attempt without running it, and its response was written completely.
     Declined,
-    /// A successful response was written completely.
+    /// The server wrote a successful response completely.
     Served,
-    /// An error response or a malformed one was written completely; the attempt may have run.
+    /// The server wrote an error response or a malformed one completely; the attempt may have run.
     Errored,
     /// The limiter closed the connection or its sending side.
     Withdrawn,
@@ -62,9 +63,11 @@
     /// Killed with SIGKILL by a fault of the scenario.
     Killed,
     /// Exited by itself after SIGTERM.
-    Left,
+    #[serde(rename = "Left")]
+    ShutDown,
     /// Killed with SIGKILL because it had not exited within the shutdown time-out after SIGTERM.
-    Overdue,
+    #[serde(rename = "Overdue")]
+    ShutdownTimedOut,
     /// Exited or crashed without a signal from the testbed.
     Crashed,
 }
@@ -96,7 +99,7 @@
         /// The client stops waiting after this time.
         #[serde(rename = "patience")]
         time_limit: Micros,
-        /// Whether the connection had carried earlier requests.
+        /// Whether the connection had already been used for earlier requests.
         reused: bool,
     },
     /// A client received a complete response.
@@ -107,10 +110,10 @@
         request: RequestId,
         /// The HTTP status of the response.
         status: u16,
-        /// `false` for a 200 whose body no server made for this request; `true` for every other response.
+        /// `false` if the status is 200 and the body is not one that a server sent for this request; otherwise `true`.
         #[serde(rename = "sound")]
         valid: bool,
-        /// The wait that the limiter advises before a retry.
+        /// The time that the limiter asks the client to wait before a retry.
         retry_after: Option<Micros>,
     },
     /// The connection of a request ended without a complete response.
@@ -146,7 +149,7 @@
         /// The limiter that could not be reached.
         limiter: usize,
     },
-    /// Bytes arrived on a client's connection on which no request was pending.
+    /// Bytes arrived on a client's connection while no request was pending on it.
     #[serde(rename = "Unasked")]
     StrayBytes {
         /// The limiter that sent them.
@@ -184,7 +187,7 @@
         /// Whether the work of this key had already run on any server, so that this is a repeated effect.
         #[serde(rename = "second")]
         repeated_effect: bool,
-        /// Whether the zone's servers recognised the key, so that nothing ran.
+        /// Whether the servers of the zone had the key in their deduplication window, so that nothing ran.
         #[serde(rename = "remembered")]
         deduplicated: bool,
     },
@@ -281,7 +284,7 @@
         /// A description of the fault; at its end it is prefixed with `over: `.
         name: String,
     },
-    /// The stand-ins themselves were late: a timer of theirs has just fired this much after it was due.
+    /// The stand-ins themselves ran late: one of their timers fired this long after it was due.
     #[serde(rename = "Late")]
     StandInsLate {
         /// The delay.
@@ -300,10 +303,10 @@
     pub kind: EventKind,
 }
 
-/// Maximum number of events in a trace; a run that reaches it is cut short and reports so.
+/// Maximum number of events in a trace; a run that reaches it is cut short, and the report says so.
 pub const MAX_EVENTS: usize = 40_000_000;
 
-/// The event log that all stand-ins write to, and their clock.
+/// The event log that all stand-ins write to, and the clock that gives the events their timestamps.
 #[derive(Clone)]
 pub struct Recorder {
     started: Rc<Cell<Instant>>,
@@ -343,7 +346,7 @@
         self.record_at(self.now(), kind);
     }
 
-    /// Records an event of an earlier time, for events that can be classified only later.
+    /// Records an event with an earlier timestamp: some events can be classified only after they happened.
     pub fn record_at(&self, at: Micros, kind: EventKind) {
         let mut events = self.events.borrow_mut();
         if events.len() < MAX_EVENTS {
--- a/crates/emberpin-testbed/tests/common/site_slots.rs
+++ b/crates/emberpin-testbed/tests/common/site_slots.rs
@@ -1,8 +1,8 @@
 //! Limits how many sites the tests of one file run at the same time.
 //!
 //! Each site is several processes in real time. If all tests of a file ran at once, they would starve each other of
-//! processor time: the load that should exceed a limit would not be sent, and a server that is warming up would send no
-//! load report.
+//! processor time: load that is meant to exceed a limit would not be sent in time, and servers that are warming up
+//! would send no load reports.
 
 use std::sync::{Condvar, Mutex, PoisonError};
 
--- a/crates/emberpin-testbed/tests/referee.rs
+++ b/crates/emberpin-testbed/tests/referee.rs
@@ -258,7 +258,11 @@
     );
     trace.assert_violation(Rule::Answers, "ended with no answer");
     // SIGTERM excuses no lost request, nor does SIGKILL after the shutdown time-out.
-    for how in [ProcessEnd::Left, ProcessEnd::Overdue, ProcessEnd::Crashed] {
+    for how in [
+        ProcessEnd::ShutDown,
+        ProcessEnd::ShutdownTimedOut,
+        ProcessEnd::Crashed,
+    ] {
         let mut cancelled = trace.clone();
         cancelled.add(
             SECOND + 5,
@@ -415,9 +419,9 @@
 fn a_limiter_that_crashes_or_exceeds_the_shutdown_timeout_is_a_violation() {
     for (how, allowed) in [
         (ProcessEnd::Killed, true),
-        (ProcessEnd::Left, true),
+        (ProcessEnd::ShutDown, true),
         (ProcessEnd::Crashed, false),
-        (ProcessEnd::Overdue, false),
+        (ProcessEnd::ShutdownTimedOut, false),
     ] {
         let mut trace = TraceBuilder::new();
         trace.add(
--- a/crates/emberpin-testbed/tests/site.rs
+++ b/crates/emberpin-testbed/tests/site.rs
@@ -1,4 +1,4 @@
-//! Edge cases of the testbed itself, run with the real limiter on real sockets.
+//! Edge cases of the testbed itself, run with the real limiter on loopback sockets.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_testbed::invariants::Rule;
@@ -16,7 +16,7 @@
     [load]\nrate = 60\nwork = 0.3\nusage = 0.3\nfront_notice_s = 0.2\n";
 
 fn run_site(faults: &str, progress: impl Fn(Progress) + 'static) -> Outcome {
-    let scenario = Scenario::parse("test", &format!("{SITE}{faults}")).expect("sound");
+    let scenario = Scenario::parse("test", &format!("{SITE}{faults}")).expect("valid scenario");
     let program = Program {
         path: env!("CARGO_BIN_EXE_emberpin-testbed").into(),
         arguments: vec!["limiter".into()],
@@ -35,7 +35,7 @@
     );
 }
 
-/// Requests in flight at a killed limiter are left to the clients; nothing else is excused.
+/// Requests in flight at a killed limiter may be lost, and clients retry them; no other violation is excused.
 #[test]
 fn requests_lost_at_a_killed_limiter_are_no_violation() {
     // Two servers are stalled, so that requests are in flight at the limiter when it is killed.
@@ -51,27 +51,30 @@
         } => Some(event.at),
         _ => None,
     });
-    let killed = killed.expect("it was killed");
-    let near = killed..killed + SECOND / 10;
-    let dropped = outcome
+    let killed_at = killed.expect("limiter 0 was not killed");
+    let near = killed_at..killed_at + SECOND / 10;
+    let lost_connections = outcome
         .events
         .iter()
         .filter(|e| matches!(e.kind, EventKind::ConnectionLost { .. }) && near.contains(&e.at));
     assert!(
-        dropped.count() > 0,
+        lost_connections.count() > 0,
         "requests were in flight when it was killed"
     );
     let restarted = outcome
         .events
         .iter()
-        .any(|e| matches!(e.kind, EventKind::LimiterReady { limiter: 0 }) && e.at > killed);
+        .any(|e| matches!(e.kind, EventKind::LimiterReady { limiter: 0 }) && e.at > killed_at);
     assert!(restarted && outcome.usage[0].starts == 2);
     let served_again = outcome
         .events
         .iter()
-        .filter(|e| e.at > killed + SECOND)
+        .filter(|e| e.at > killed_at + SECOND)
         .any(|e| matches!(e.kind, EventKind::AttemptStarted { limiter: 0, .. }));
-    assert!(served_again, "its next incarnation serves");
+    assert!(
+        served_again,
+        "the next incarnation of limiter 0 sends requests to servers"
+    );
 }
 
 /// A successor at the same address is another server, with a new incarnation and id, and cold.
@@ -83,7 +86,7 @@
     );
     assert_rules_hold(&outcome);
     let mut incarnations: BTreeMap<usize, Vec<(Incarnation, u64)>> = BTreeMap::new();
-    let mut used = BTreeSet::new();
+    let mut used_incarnations = BTreeSet::new();
     for event in &outcome.events {
         match event.kind {
             EventKind::ServerStarted {
@@ -98,15 +101,18 @@
                     .push((incarnation, warm_after));
             }
             EventKind::AttemptStarted { incarnation, .. } => {
-                used.insert(incarnation);
+                used_incarnations.insert(incarnation);
             }
             _ => {}
         }
     }
     let [(old, 0), (new, 1..)] = incarnations[&1][..] else {
-        panic!("two incarnations, the second cold: {incarnations:?}")
+        panic!("expected two incarnations, the second cold: {incarnations:?}")
     };
-    assert!(used.contains(&old) && used.contains(&new), "both were used");
+    assert!(
+        used_incarnations.contains(&old) && used_incarnations.contains(&new),
+        "both incarnations got requests"
+    );
     let notified: BTreeSet<Incarnation> = outcome
         .events
         .iter()
@@ -131,13 +137,13 @@
             )
         })
         .collect();
-    let began = Instant::now();
+    let started = Instant::now();
     let outcome = run_site(&stalls, |_| ());
-    // The load, the time for pending work, the shutdown time-out, and a wide margin for a slow machine.
+    // Time for the load, for pending work and for the shutdown, and a wide margin for a slow machine.
     assert!(
-        began.elapsed() < Duration::from_secs(40),
+        started.elapsed() < Duration::from_secs(40),
         "{:?}",
-        began.elapsed()
+        started.elapsed()
     );
     assert_rules_hold(&outcome);
     let summary = Summary::from_outcome(&outcome);
@@ -147,7 +153,7 @@
     );
 }
 
-/// The thread of the stand-ins is blocked for moments: delays observed then are not blamed on the limiter.
+/// The thread of the stand-ins is blocked several times; delays that they observe then are no violation by the limiter.
 #[test]
 fn lateness_of_the_stand_ins_is_recorded_and_no_violation() {
     let outcome = run_site("", |_| std::thread::sleep(Duration::from_millis(450)));
@@ -156,7 +162,7 @@
         .iter()
         .filter(|e| matches!(e.kind, EventKind::StandInsLate { .. }))
         .count();
-    assert!(late >= 3, "{late} times");
+    assert!(late >= 3, "the stand-ins were late {late} times");
     assert_rules_hold(&outcome);
     assert!(Summary::from_outcome(&outcome).stand_ins_late_ms > 300.0);
 }
@@ -171,18 +177,18 @@
     assert_rules_hold(&outcome);
     assert!(outcome.events.is_sorted_by_key(|event| event.at));
     let mut sent_at = BTreeMap::new();
-    let mut answers = 0;
+    let mut responses = 0;
     for event in &outcome.events {
         match &event.kind {
             EventKind::RequestSent { request, .. } => _ = sent_at.insert(*request, event.at),
             EventKind::Responded { request, .. } => {
                 assert!(sent_at.get(request).is_some_and(|at| *at <= event.at));
-                answers += 1;
+                responses += 1;
             }
             _ => {}
         }
     }
-    assert!(answers > 100, "{answers} answers");
+    assert!(responses > 100, "{responses} responses");
     assert!(
         outcome.verdict.finding(Rule::Answers).violations == 0
             && outcome.usage.iter().all(|u| u.starts == 2)
@@ -222,7 +228,7 @@
     }
     let outcome = run_site(&faults, |_| ());
     assert_rules_hold(&outcome);
-    let used: BTreeSet<&str> = outcome
+    let fault_records: BTreeSet<&str> = outcome
         .events
         .iter()
         .filter_map(|e| {
@@ -233,5 +239,8 @@
             }
         })
         .collect();
-    assert!(used.len() >= 36, "each began and ended: {used:#?}");
+    assert!(
+        fault_records.len() >= 36,
+        "begin and end of each fault are recorded: {fault_records:#?}"
+    );
 }
--- a/crates/emberpin-testbed/tests/start.rs
+++ b/crates/emberpin-testbed/tests/start.rs
@@ -4,12 +4,13 @@
 mod common;
 
 use common::{
-    assert_rules_hold, call_times_after, count_events, discovery_calls, killed_limiters,
-    limiters_that, list_times, run_site, run_with_operator_file, served_discovery_caller,
+    assert_rules_hold, count_events, discovery_call_times_after, discovery_calls, distinct_values,
+    first_list_times, limiter_kill_count, run_site, run_with_operator_file,
+    served_discovery_caller,
 };
 use emberpin_startup::snapshot::{decode, encode, SnapshotHeader};
 use emberpin_testbed::report::Summary;
-use emberpin_testbed::start_summary::Starts;
+use emberpin_testbed::start_summary::StartSummary;
 use emberpin_testbed::trace::{Event, EventKind, ServerState, SECOND};
 use nix::sys::stat::Mode;
 use nix::unistd::mkfifo;
@@ -17,16 +18,16 @@
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// 24 limiters that start together without an endpoint list, with cold servers; the discovery service can answer each
-/// limiter once in 4 s.
+/// 24 limiters that start together without an endpoint list, with cold servers; the discovery service needs 4 s
+/// to answer each limiter once.
 const COLD_START: &str =
     "[site]\nlimiters = 24\nservers = 8\ntogether = true\ncold = true\nknown = false\nlist_power = 6\n\
                         [load]\nrate = 24\nusage = 0.3\nretries = 0\n";
-/// The capacity of that discovery service in the limiters' operator file.
+/// Operator file: the rate of calls that this discovery service can answer.
 const START_TABLE: &str = "[start]\nlist_calls_per_s = 6\n";
 
-/// Guards against limiters that send nothing before the first server is warm, which happens if the load of cold servers
-/// is limited to a share of the observed load of warm ones.
+/// Guards against limiters that send nothing until the first server is warm. That happens if they limit the load of
+/// cold servers to a share of the observed load of warm servers, and no server is warm yet.
 #[test]
 fn limiters_that_start_with_only_cold_servers_serve_at_once() {
     for seed in [5, 6] {
@@ -51,8 +52,8 @@
     }
 }
 
-/// Guards against limiters that send cold servers one request at a time until the first is warm, although the queues
-/// are empty and each server has two cores.
+/// Guards against limiters that send each cold server one request at a time until the first server is warm, although
+/// the servers report empty queues and each has two cores.
 #[test]
 fn servers_that_are_all_cold_and_say_that_nothing_waits_are_asked_for_more() {
     let text =
@@ -70,12 +71,12 @@
         )
     });
     assert_eq!(cold.count(), 4, "all servers were cold, and none crashed");
-    let starts = Starts::from_outcome(&outcome);
+    let starts = StartSummary::from_outcome(&outcome);
     assert!(
-        starts.served(8, 12) > 1.5 * starts.served(1, 3),
+        starts.served_share(8, 12) > 1.5 * starts.served_share(1, 3),
         "{starts:?}"
     );
-    assert!(starts.served(8, 12) > 0.6, "{starts:?}");
+    assert!(starts.served_share(8, 12) > 0.6, "{starts:?}");
 }
 
 /// Guards against a burst of 24 calls within 100 ms that all time out at 2 s, after which a third of the limiters never
@@ -85,10 +86,10 @@
     let at_once = format!("{START_TABLE}ready_within_s = 0\n");
     let outcome = run_with_operator_file(&at_once, &format!("seconds = 14\n{COLD_START}"), 1);
     assert_rules_hold(&outcome);
-    let starts = Starts::from_outcome(&outcome);
+    let starts = StartSummary::from_outcome(&outcome);
     assert!(
         starts.ready[1].is_some_and(|last| last < 3.0),
-        "they started together: {starts:?}"
+        "the limiters were ready together: {starts:?}"
     );
     assert_eq!(
         count_events(&outcome, |kind| matches!(
@@ -99,14 +100,14 @@
             }
         )),
         8,
-        "all cold, none crashed"
+        "all servers were cold, and none crashed"
     );
     assert_eq!(discovery_calls(&outcome, 0.0, 14.0), (24, 0), "{starts:?}");
     assert!(
         starts.listed[2].is_some_and(|last| last < 7.0),
         "{starts:?}"
     );
-    assert!(starts.served(10, 14) > 0.9, "{starts:?}");
+    assert!(starts.served_share(10, 14) > 0.9, "{starts:?}");
 }
 
 #[test]
@@ -114,13 +115,18 @@
     let site = COLD_START.replace("list_power = 6", "list_power = 6\nlist_warm_s = 6");
     let outcome = run_with_operator_file(START_TABLE, &format!("seconds = 25\n{site}"), 2);
     assert_rules_hold(&outcome);
-    let (asked, failed) = discovery_calls(&outcome, 0.0, 25.0);
+    let (calls, failed) = discovery_calls(&outcome, 0.0, 25.0);
     assert!(
         failed > 0,
-        "at a quarter of its capacity it could not answer all: {asked} calls"
+        "the cold service could not answer all of {calls} calls"
+    );
+    assert!(calls <= 24 * 3, "{calls} calls");
+    assert_eq!(
+        first_list_times(&outcome).len(),
+        24,
+        "{:?}",
+        first_list_times(&outcome)
     );
-    assert!(asked <= 24 * 3, "{asked} calls");
-    assert_eq!(list_times(&outcome).len(), 24, "{:?}", list_times(&outcome));
 }
 
 #[test]
@@ -132,24 +138,25 @@
         3,
     );
     assert_rules_hold(&outcome);
-    let listed = list_times(&outcome);
+    let listed = first_list_times(&outcome);
     let before = listed.iter().filter(|at| **at < 2.0).count();
     assert!(
         (6..=16).contains(&before),
-        "about half got the list before: {listed:?}"
+        "about half of the limiters got the list before the outage: {listed:?}"
     );
     assert!(
         discovery_calls(&outcome, 2.0, 8.0).1 >= 12,
-        "calls failed while it was dead"
+        "calls failed during the outage"
     );
     assert!(
         !listed.iter().any(|at| (2.1..7.9).contains(at)),
-        "and none was answered: {listed:?}"
+        "no call was answered during the outage: {listed:?}"
     );
     assert_eq!(listed.len(), 24, "{listed:?}");
 }
 
-/// A limiter that is paused during the start calls when it resumes, and does not delay the others.
+/// A limiter that is paused during the start calls the discovery service when it resumes; its pause does not delay the
+/// other limiters.
 #[test]
 fn a_limiter_paused_during_the_start_gets_the_list_when_it_resumes() {
     let fault = "[[fault]]\nat_s = 0.2\nwhat = \"limiter-paused\"\nlimiter = 7\nfor_s = 10\n";
@@ -176,7 +183,7 @@
         at.is_some_and(|at| at > 10.0),
         "it was paused until then: {at:?}"
     );
-    let listed = list_times(&outcome);
+    let listed = first_list_times(&outcome);
     assert!(listed.len() == 24 && listed[22] < 8.0, "{listed:?}");
 }
 
@@ -193,23 +200,27 @@
         5,
     );
     assert_rules_hold(&outcome);
-    assert!(killed_limiters(&outcome) >= 28, "they were killed");
-    let back: Vec<f64> = call_times_after(&outcome, 11.5);
-    assert!(back.len() >= 14, "{back:?}");
-    let max_in_window = back
+    assert!(
+        limiter_kill_count(&outcome) >= 28,
+        "the limiters were killed"
+    );
+    let call_times: Vec<f64> = discovery_call_times_after(&outcome, 11.5);
+    assert!(call_times.len() >= 14, "{call_times:?}");
+    let max_in_window = call_times
         .iter()
         .map(|from| {
-            back.iter()
+            call_times
+                .iter()
                 .filter(|at| (*from..from + 0.25).contains(*at))
                 .count()
         })
         .max();
     assert!(
         max_in_window <= Some(6),
-        "within a quarter of a second {max_in_window:?} of {back:?}"
+        "{max_in_window:?} calls within 0.25 s: {call_times:?}"
     );
-    let (asked, failed) = discovery_calls(&outcome, 11.5, 20.0);
-    assert_eq!(failed, 0, "of {asked}");
+    let (calls, failed) = discovery_calls(&outcome, 11.5, 20.0);
+    assert_eq!(failed, 0, "of {calls} calls");
 }
 
 /// A discovery service that recovers from an outage with an empty list, then half of it, then all.
@@ -229,17 +240,18 @@
         call_counts.0 - call_counts.1 >= 12,
         "limiters got the empty list: {call_counts:?}"
     );
-    let starts = Starts::from_outcome(&outcome);
-    assert!(starts.served(7, 20) > 0.95, "{starts:?}");
-    // Without the `[start]` table the guard is off: full lists apply as they are.
-    let unguarded = Starts::from_outcome(&run_site(&text, 6));
+    let starts = StartSummary::from_outcome(&outcome);
+    assert!(starts.served_share(7, 20) > 0.95, "{starts:?}");
+    // Without the `[start]` table limiters apply each full list unchecked.
+    let unchecked = StartSummary::from_outcome(&run_site(&text, 6));
     assert!(
-        unguarded.served(7, 12) < 0.8,
-        "an empty list took servers away: {unguarded:?}"
+        unchecked.served_share(7, 12) < 0.8,
+        "the empty list removed all servers: {unchecked:?}"
     );
 }
 
-/// Minimum share served while the service lists old addresses; without the guard it is less.
+/// Minimum share of the work that is served while the service lists old addresses; limiters that apply each full list
+/// unchecked serve less.
 const MIN_SERVED_WITH_OLD_LIST: f64 = 0.95;
 
 /// The service falls back to a list version from before six of eight servers moved.
@@ -260,16 +272,16 @@
         call_counts.0 - call_counts.1 >= 12,
         "limiters got the older list: {call_counts:?}"
     );
-    let starts = Starts::from_outcome(&outcome);
+    let starts = StartSummary::from_outcome(&outcome);
     assert!(
-        starts.served(10, 15) > MIN_SERVED_WITH_OLD_LIST,
+        starts.served_share(10, 15) > MIN_SERVED_WITH_OLD_LIST,
         "{starts:?}"
     );
-    // Without the `[start]` table the guard is off: full lists apply as they are, and the minimum is missed.
-    let unguarded = Starts::from_outcome(&run_site(&text, 7));
+    // Without the `[start]` table limiters apply each full list unchecked.
+    let unchecked = StartSummary::from_outcome(&run_site(&text, 7));
     assert!(
-        unguarded.served(10, 15) < MIN_SERVED_WITH_OLD_LIST,
-        "old addresses came back: {unguarded:?}"
+        unchecked.served_share(10, 15) < MIN_SERVED_WITH_OLD_LIST,
+        "the older list restored old addresses: {unchecked:?}"
     );
 }
 
@@ -288,72 +300,78 @@
     let faults = "[[fault]]\nat_s = 8\nwhat = \"discovery-dead\"\nfor_s = 12\n\
                   [[fault]]\nat_s = 9\nwhat = \"limiters-killed\"\nshare = 0.7\nback_s = 0.5\n";
     let text = format!("seconds = 18\n{site}{faults}");
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("cannot create a temporary folder");
     let outcome = run_with_operator_file(&snapshot_operator_file(folder.path()), &text, 8);
     assert_rules_hold(&outcome);
-    assert!(killed_limiters(&outcome) >= 14, "they were killed");
-    let (asked, failed) = discovery_calls(&outcome, 9.5, 18.0);
     assert!(
-        asked > 0 && asked == failed,
-        "the service was dead: {asked}, {failed}"
+        limiter_kill_count(&outcome) >= 14,
+        "the limiters were killed"
+    );
+    let (calls, failed) = discovery_calls(&outcome, 9.5, 18.0);
+    assert!(
+        calls > 0 && calls == failed,
+        "all calls failed while the service was dead: {calls} calls, {failed} failed"
     );
-    let starts = Starts::from_outcome(&outcome);
-    assert!(starts.served(11, 18) > 0.95, "{starts:?}");
+    let starts = StartSummary::from_outcome(&outcome);
+    assert!(starts.served_share(11, 18) > 0.95, "{starts:?}");
     // Without snapshots the restarted limiters know no server.
-    let without = Starts::from_outcome(&run_with_operator_file(
+    let without = StartSummary::from_outcome(&run_with_operator_file(
         &format!("{START_TABLE}ready_within_s = 1\n"),
         &text,
         8,
     ));
-    assert!(without.served(11, 18) < 0.7, "{without:?}");
+    assert!(without.served_share(11, 18) < 0.7, "{without:?}");
 }
 
-/// Snapshots that are truncated, from another site, a month old or garbage; a file whose reads and writes hang, paths
-/// blocked by a file or a folder, and no snapshot: each at three of the limiters.
+/// Eight cases, each at three of the limiters: a snapshot that is truncated, from another site, a month old or garbage;
+/// a pipe in place of the file, so that reads and writes hang; a file in place of the folder; a folder in place of the
+/// file; and no snapshot.
 #[test]
 fn invalid_snapshots_and_stalled_or_failing_disks_do_not_prevent_a_start() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("cannot create a temporary folder");
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .expect("after 1970")
+        .expect("system time is before 1970")
         .as_millis() as u64;
-    let month = 30 * 86_400_000;
+    let month_ms = 30 * 86_400_000;
     let names: Vec<String> = (0..24).map(|number| format!("n{number}")).collect();
-    let valid_snapshot = |name: &str, site: &str, age: u64| {
+    let valid_snapshot = |name: &str, site: &str, age_ms: u64| {
         let header = SnapshotHeader {
             owner: format!("{site}/{name}"),
-            written_at: unix_time(now - age),
+            written_at: unix_time(now - age_ms),
             revision: 9_999,
         };
         encode(&header, b"[]")
     };
     for (number, name) in names.iter().enumerate() {
         let limiter_folder = folder.path().join(name);
-        let whole = valid_snapshot(name, "t", 0);
+        let snapshot = valid_snapshot(name, "t", 0);
         let file = match number % 8 {
-            0 => whole[..whole.len() - 1].to_vec(),
+            0 => snapshot[..snapshot.len() - 1].to_vec(),
             1 => valid_snapshot(name, "another", 0),
-            2 => valid_snapshot(name, "t", month),
+            2 => valid_snapshot(name, "t", month_ms),
             3 => b"\xff\x00 no snapshot".to_vec(),
             4 => {
-                std::fs::create_dir_all(&limiter_folder).expect("made");
+                std::fs::create_dir_all(&limiter_folder).expect("cannot create the folder");
                 for file in ["list", "list.new"] {
-                    mkfifo(&limiter_folder.join(file), Mode::S_IRWXU).expect("a pipe");
+                    mkfifo(&limiter_folder.join(file), Mode::S_IRWXU)
+                        .expect("cannot create the pipe");
                 }
                 continue;
             }
             5 => {
-                std::fs::write(&limiter_folder, "in the way").expect("written");
+                std::fs::write(&limiter_folder, "in the way").expect("cannot write the file");
                 continue;
             }
             6 => {
-                std::fs::create_dir_all(limiter_folder.join("list")).expect("made");
+                std::fs::create_dir_all(limiter_folder.join("list"))
+                    .expect("cannot create the folder");
                 continue;
             }
             _ => continue,
         };
-        std::fs::create_dir_all(&limiter_folder).expect("made");
-        std::fs::write(limiter_folder.join("list"), file).expect("written");
+        std::fs::create_dir_all(&limiter_folder).expect("cannot create the folder");
+        std::fs::write(limiter_folder.join("list"), file).expect("cannot write the file");
     }
     let outcome = run_with_operator_file(
         &snapshot_operator_file(folder.path()),
@@ -361,11 +379,11 @@
         9,
     );
     assert_rules_hold(&outcome);
-    let starts = Starts::from_outcome(&outcome);
+    let starts = StartSummary::from_outcome(&outcome);
     assert!(starts.ready[1].is_some_and(|last| last < 7.0), "{starts:?}");
     assert!(
         starts.listed[2].is_some_and(|last| last < 8.0),
-        "revision 9999 was not trusted: {starts:?}"
+        "all limiters got the list, since they rejected the snapshots: {starts:?}"
     );
     let stored_revision = |name: &String| {
         let bytes = std::fs::read(folder.path().join(name).join("list")).ok()?;
@@ -382,18 +400,21 @@
         match number % 8 {
             0..=3 | 7 => assert!(
                 stored_revision(name).is_some_and(|rev| rev < 9_999),
-                "{name} was rewritten"
+                "the snapshot of {name} was replaced"
             ),
             4 => {
                 assert!(std::fs::metadata(folder.path().join(name).join("list"))
                     .is_ok_and(|file| !file.is_file()));
             }
-            _ => assert!(stored_revision(name).is_none(), "{name} cannot be written"),
+            _ => assert!(
+                stored_revision(name).is_none(),
+                "{name} cannot write a snapshot"
+            ),
         }
     }
 }
 
-/// A limiter is ready once it has the endpoint list, or without one when `ready_within_s` is over, not before.
+/// A limiter becomes ready when it has the endpoint list or when `ready_within_s` has passed, not before.
 #[test]
 fn limiters_are_ready_with_a_list_or_after_the_readiness_timeout() {
     let operator_file = format!("{START_TABLE}ready_within_s = 9\n");
@@ -408,7 +429,7 @@
             EventKind::LimiterReady { limiter } => {
                 assert!(
                     listed.contains(&limiter),
-                    "{limiter} was ready without a list"
+                    "limiter {limiter} was ready without a list"
                 );
             }
             _ => {}
@@ -421,10 +442,10 @@
         &format!("seconds = 7\n{COLD_START}{dead}"),
         11,
     );
-    let (asked, failed) = discovery_calls(&outcome, 0.0, 6.9);
+    let (calls, failed) = discovery_calls(&outcome, 0.0, 6.9);
     assert!(
-        asked > 24 && asked == failed,
-        "the service was dead: {asked}, {failed}"
+        calls > 24 && calls == failed,
+        "all calls failed while the service was dead: {calls} calls, {failed} failed"
     );
     let ready_times = outcome
         .events
@@ -465,17 +486,17 @@
         );
         assert_rules_hold(&outcome);
         assert_eq!(discovery_calls(&outcome, 0.0, 14.0).1, 0);
-        let begun = count_events(
+        let message_fault_events = count_events(
             &outcome,
             |kind| matches!(kind, EventKind::Fault { name } if name.contains("messages lost") || name.contains("split")),
         );
-        assert!(begun > 0, "messages were lost, late, or came one way only");
-        let starts = Starts::from_outcome(&outcome);
+        assert!(message_fault_events > 0, "the message fault was injected");
+        let starts = StartSummary::from_outcome(&outcome);
         assert!(
             starts.listed[2].is_some_and(|last| last < 7.0),
             "{starts:?}"
         );
-        assert!(starts.served(11, 14) > 0.8, "{starts:?}");
+        assert!(starts.served_share(11, 14) > 0.8, "{starts:?}");
     }
 }
 
@@ -497,7 +518,11 @@
         9,
     );
     assert_rules_hold(&outcome);
-    assert_eq!(list_times(&outcome).len(), 6, "each got the list");
+    assert_eq!(
+        first_list_times(&outcome).len(),
+        6,
+        "all limiters got the list"
+    );
     assert!(
         Summary::from_outcome(&outcome).total.in_time * 10
             > Summary::from_outcome(&outcome).total.asked * 9
@@ -514,55 +539,66 @@
     assert_eq!(drained, 2 * 6);
 }
 
-/// Half of the limiters restart without an endpoint list while the other half serves.
+/// Half of the limiters restart without an endpoint list while the others serve: the restarted ones get the list
+/// without a failed call, and the service continues.
 #[test]
 fn half_of_the_limiters_restart_while_the_others_serve() {
     let site = RUNNING_SITE.replace("servers = 8", "servers = 8\nknown = false\nlist_power = 6");
     let fault = "[[fault]]\nat_s = 8\nwhat = \"limiters-killed\"\nshare = 0.5\nback_s = 1\n";
     let outcome = run_with_operator_file(START_TABLE, &format!("seconds = 16\n{site}{fault}"), 15);
     assert_rules_hold(&outcome);
-    assert!(killed_limiters(&outcome) >= 10, "they were killed");
-    let (asked, failed) = discovery_calls(&outcome, 9.0, 16.0);
-    assert!(asked >= 10 && failed == 0, "{asked}, {failed}");
-    let starts = Starts::from_outcome(&outcome);
-    assert!(starts.served(9, 16) > 0.9, "{starts:?}");
+    assert!(
+        limiter_kill_count(&outcome) >= 10,
+        "the limiters were killed"
+    );
+    let (calls, failed) = discovery_calls(&outcome, 9.0, 16.0);
+    assert!(calls >= 10 && failed == 0, "{calls} calls, {failed} failed");
+    let starts = StartSummary::from_outcome(&outcome);
+    assert!(starts.served_share(9, 16) > 0.9, "{starts:?}");
 }
 
-/// The limiter's call slot is the last of a round of 4 s, but it learns that its peers serve and calls earlier.
+/// The restarted limiter's call slot is the last of a round of 4 s, but it learns that its peers are serving and calls
+/// earlier.
 #[test]
 fn a_limiter_restarted_among_serving_peers_calls_early() {
     let site = RUNNING_SITE.replace("servers = 8", "servers = 8\nknown = false\nlist_power = 6");
     let fault = "[[fault]]\nat_s = 6\nwhat = \"limiter-killed\"\nlimiter = 7\nback_s = 0.5\n";
     let outcome = run_with_operator_file(START_TABLE, &format!("seconds = 12\n{site}{fault}"), 16);
     assert_rules_hold(&outcome);
-    let down = |event: &&Event| matches!(event.kind, EventKind::LimiterStopped { limiter: 7, .. });
-    let down = outcome.events.iter().find(down).expect("it was killed").at;
-    let asked = |event: &&Event| {
-        event.at > down && matches!(event.kind, EventKind::DiscoveryCalled { limiter: 7 })
+    let is_stop =
+        |event: &&Event| matches!(event.kind, EventKind::LimiterStopped { limiter: 7, .. });
+    let stopped_at = outcome
+        .events
+        .iter()
+        .find(is_stop)
+        .expect("limiter 7 was not killed")
+        .at;
+    let is_call = |event: &&Event| {
+        event.at > stopped_at && matches!(event.kind, EventKind::DiscoveryCalled { limiter: 7 })
     };
-    let asked = outcome
+    let called_after = outcome
         .events
         .iter()
-        .find(asked)
-        .map(|event| (event.at - down) as f64 / SECOND as f64);
+        .find(is_call)
+        .map(|event| (event.at - stopped_at) as f64 / SECOND as f64);
     assert!(
-        asked.is_some_and(|after| after < 2.5),
-        "asked {asked:?} s after its end"
+        called_after.is_some_and(|after| after < 2.5),
+        "first call {called_after:?} s after the kill"
     );
 }
 
-/// Guards against treating a broken watch without updates as a call that failed after its whole duration, which delays
-/// the next call by twice that duration.
+/// Guards against treating a watch that breaks without having sent an update as a failed call that took as long as the
+/// watch was open: the next call would be delayed by twice that time.
 #[test]
 fn a_broken_watch_without_updates_is_reopened_soon() {
     let fault = "[[fault]]\nat_s = 9\nwhat = \"discovery-dead\"\nfor_s = 0.2\n";
     let outcome = run_site(&format!("seconds = 14\n{RUNNING_SITE}{fault}"), 17);
     assert_rules_hold(&outcome);
-    let answered = limiters_that(&outcome, 9, 14, served_discovery_caller);
+    let answered = distinct_values(&outcome, 9, 14, served_discovery_caller);
     assert_eq!(
         answered.len(),
         24,
-        "within 5 s {answered:?} got an answer again"
+        "limiters whose call was answered within 5 s: {answered:?}"
     );
 }
 
@@ -573,12 +609,12 @@
 /// Limiters that start from old snapshots while the service is dead do not refresh the snapshots' timestamps.
 #[test]
 fn a_start_keeps_the_timestamp_of_its_snapshot() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("cannot create a temporary folder");
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .expect("after 1970")
+        .expect("system time is before 1970")
         .as_millis() as u64;
-    let target =
+    let server_list =
         "[{\"uid\":\"s-000-0\",\"endpoint\":\"127.0.0.1:9\",\"az\":\"a\",\"model\":null,\"pod_group\":null,\
                   \"state\":\"ready\",\"capacity_hint\":null,\"boot_ms\":0.0}]";
     let written_at = unix_time(now - 3_600_000);
@@ -588,12 +624,12 @@
             written_at,
             revision: 9_999,
         };
-        std::fs::create_dir_all(folder.path().join(name)).expect("made");
+        std::fs::create_dir_all(folder.path().join(name)).expect("cannot create the folder");
         std::fs::write(
             folder.path().join(name).join("list"),
-            encode(&header, target.as_bytes()),
+            encode(&header, server_list.as_bytes()),
         )
-        .expect("written");
+        .expect("cannot write the file");
     }
     let site = COLD_START.replace("limiters = 24", "limiters = 2");
     let dead = "[[fault]]\nat_s = 0\nwhat = \"discovery-dead\"\nfor_s = 9\n";
@@ -602,20 +638,21 @@
         &format!("seconds = 4\n{site}{dead}"),
         19,
     );
-    let ready = Starts::from_outcome(&outcome).ready[1];
+    let ready = StartSummary::from_outcome(&outcome).ready[1];
     assert!(
         ready.is_some_and(|at| at < 3.0),
-        "they started from their snapshots: {ready:?}"
+        "the limiters started from their snapshots: {ready:?}"
     );
     for name in ["n0", "n1"] {
-        let bytes = std::fs::read(folder.path().join(name).join("list")).expect("there");
+        let bytes =
+            std::fs::read(folder.path().join(name).join("list")).expect("cannot read the snapshot");
         let (header, _) = decode(
             &bytes,
             &format!("t/{name}"),
             unix_time(now),
             Duration::from_secs(7200),
         )
-        .expect("whole");
+        .expect("valid snapshot");
         assert_eq!(
             (header.written_at, header.revision),
             (written_at, 9_999),
@@ -630,7 +667,7 @@
         let site = COLD_START.replace("limiters = 24", &format!("limiters = {limiters}"));
         let outcome = run_with_operator_file("", &format!("seconds = 4\n{site}"), 13);
         assert_rules_hold(&outcome);
-        let listed = list_times(&outcome);
+        let listed = first_list_times(&outcome);
         assert!(
             listed.len() == limiters && listed.iter().all(|at| *at < 1.5),
             "{limiters}: {listed:?}"
@@ -647,9 +684,9 @@
         );
         let outcome = run_with_operator_file(START_TABLE, &format!("seconds = 20\n{site}"), 14);
         assert_rules_hold(&outcome);
-        let listed = list_times(&outcome);
+        let listed = first_list_times(&outcome);
         assert!(listed.len() == 24, "{group_size}: {listed:?}");
-        let asked = discovery_calls(&outcome, 0.0, 20.0).0;
-        assert!(asked <= 24 * 3, "{group_size}: {asked} calls");
+        let calls = discovery_calls(&outcome, 0.0, 20.0).0;
+        assert!(calls <= 24 * 3, "{group_size}: {calls} calls");
     }
 }
--- a/crates/emberpin-testbed/tests/takeover.rs
+++ b/crates/emberpin-testbed/tests/takeover.rs
@@ -1,5 +1,5 @@
-//! Takeover of the keyed work of a lost limiter by its peers: limiters are killed, stopped or cut off, and the
-//! invariant checker counts repeated effects at the servers.
+//! Takeover of a lost limiter's keyed work by its peers: limiters are killed, stopped or cut off, and the invariant
+//! checker counts repeated effects at the servers.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -13,25 +13,31 @@
 use emberpin_testbed::trace::{EventKind, Micros, ProcessEnd, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Operator file table that turns the store of idempotency keys on.
 const KEYS: &str = "[idempotency]\nretention_s = 20\n";
+/// Operator file table that turns takeover on.
 const TAKEOVER: &str = "[takeover]\n";
-/// Keyed work of about 0.2 s each, all of it repeated under its key after 0.5 to 0.9 s.
+/// Only keyed work, of about 0.2 s each; clients repeat each under the same key after 0.5 to 0.9 s.
 const LOAD: &str = "\
     [load]\nrate = 60\nwork = 2.0\nsubmit = 1.0\nusage = 0.2\nretries = 0\nimpatient = 0\nrepeat_keys = 1.0\n\
     repeat_after_ms = [500, 900]\nfront_notice_s = 0.05\n[rules]\nkeys_once = true\n";
 
-fn run_site(tables: &str, seed: u64, faults: &str) -> Outcome {
+fn run_site(operator_tables: &str, seed: u64, faults: &str) -> Outcome {
     let text = format!(
         "name = \"t\"\nabout = \"Work in flight.\"\nseed = {seed}\nseconds = 5\n[site]\nlimiters = 5\nservers = 12\n\
          notice_ms = [1, 20]\nwarm_s = 1\n{LOAD}{faults}"
     );
-    let scenario = Scenario::parse("test", &text).expect("sound");
-    let file = tempfile::Builder::new()
+    let scenario = Scenario::parse("test", &text).expect("valid scenario");
+    let operator_file = tempfile::Builder::new()
         .suffix(".toml")
         .tempfile()
-        .expect("a file");
-    std::fs::write(file.path(), tables).expect("written");
-    let arguments = vec!["limiter".into(), "--with".into(), file.path().into()];
+        .expect("cannot create the operator file");
+    std::fs::write(operator_file.path(), operator_tables).expect("cannot write the operator file");
+    let arguments = vec![
+        "limiter".into(),
+        "--with".into(),
+        operator_file.path().into(),
+    ];
     let program = Program {
         path: env!("CARGO_BIN_EXE_emberpin-testbed").into(),
         arguments,
@@ -56,19 +62,21 @@
     );
 }
 
-/// The keys that were in flight at limiters when these were killed, as far as clients repeated them: how many there
-/// were, how many were served then, and how many attempts other limiters made for requests sent to another limiter.
+/// What became of the work that was in flight at limiters when they were killed.
 #[derive(Debug, Default)]
 struct LostWork {
+    /// Number of keys that were in flight at a killed limiter and that a client sent again afterwards.
     keys: usize,
+    /// Number of those keys for which such a later request was served.
     served: usize,
+    /// Number of attempts by a limiter other than the one that the client sent the request to.
     takeover_attempts: usize,
 }
 
 fn lost_work(outcome: &Outcome) -> LostWork {
-    let mut asked: BTreeMap<RequestId, (usize, u32, Micros)> = BTreeMap::new();
+    let mut sent_requests: BTreeMap<RequestId, (usize, u32, Micros)> = BTreeMap::new();
     let mut in_flight: BTreeMap<RequestId, (usize, u32)> = BTreeMap::new();
-    let mut lost_keys: BTreeMap<u32, Micros> = BTreeMap::new();
+    let mut lost_at: BTreeMap<u32, Micros> = BTreeMap::new();
     let (mut retried_keys, mut served, mut limiter_of_attempt) =
         (BTreeSet::new(), BTreeSet::new(), BTreeMap::new());
     let mut totals = LostWork::default();
@@ -81,16 +89,16 @@
                 class: 1,
                 ..
             } => {
-                retried_keys.extend(lost_keys.get(&key).map(|_| key));
-                asked.insert(request, (limiter, key, event.at));
+                retried_keys.extend(lost_at.get(&key).map(|_| key));
+                sent_requests.insert(request, (limiter, key, event.at));
                 in_flight.insert(request, (limiter, key));
             }
             EventKind::Responded {
                 request, status, ..
             } => {
                 in_flight.remove(&request);
-                if let (200, Some((_, key, at))) = (status, asked.get(&request)) {
-                    if lost_keys.get(key).is_some_and(|lost_keys| at > lost_keys) {
+                if let (200, Some((_, key, at))) = (status, sent_requests.get(&request)) {
+                    if lost_at.get(key).is_some_and(|lost| at > lost) {
                         served.insert(*key);
                     }
                 }
@@ -104,10 +112,10 @@
                 limiter,
                 end: ProcessEnd::Killed,
             } => {
-                lost_keys.extend(
+                lost_at.extend(
                     in_flight
                         .values()
-                        .filter(|(at, _)| *at == limiter)
+                        .filter(|(holder, _)| *holder == limiter)
                         .map(|(_, key)| (*key, event.at)),
                 );
             }
@@ -119,9 +127,9 @@
                 request: Some(request),
                 ..
             } => {
-                let to = asked.get(&request).map(|(limiter, ..)| *limiter);
+                let addressee = sent_requests.get(&request).map(|(limiter, ..)| *limiter);
                 totals.takeover_attempts +=
-                    usize::from(to != limiter_of_attempt.get(&attempt).copied());
+                    usize::from(addressee != limiter_of_attempt.get(&attempt).copied());
             }
             _ => {}
         }
@@ -130,13 +138,13 @@
     totals
 }
 
-/// The seeds of a test: as many as the environment variable `TAKEOVER_SEEDS` says, 1 by default.
+/// The seeds of a test, from `first` on. The environment variable `TAKEOVER_SEEDS` sets their number, 1 by default.
 fn seeds(first: u64) -> std::ops::Range<u64> {
-    let more = std::env::var("TAKEOVER_SEEDS")
+    let count = std::env::var("TAKEOVER_SEEDS")
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(1);
-    first..first + more
+    first..first + count
 }
 
 /// Faults that kill limiters at these times in seconds; each restarts after 0.4 s.
@@ -147,7 +155,8 @@
     times.iter().map(kill_fault).collect()
 }
 
-fn killed_limiters(outcome: &Outcome) -> usize {
+/// Number of times that a fault killed a limiter.
+fn limiter_kill_count(outcome: &Outcome) -> usize {
     count_events(outcome, |kind| {
         matches!(
             kind,
@@ -159,6 +168,7 @@
     })
 }
 
+/// Number of fault records that contain this text, without those of the ends of faults.
 fn fault_count(outcome: &Outcome, text: &str) -> usize {
     count_events(
         outcome,
@@ -170,15 +180,15 @@
     format!("{KEYS}{TAKEOVER}")
 }
 
-/// Limiters are killed one after the other with work in flight: clients that repeat it are served, while without the
-/// `[takeover]` table most of it is not.
+/// Limiters are killed one after the other with work in flight. Most of the work that clients repeat is served; without
+/// the `[takeover]` table less than half of it is.
 #[test]
 fn work_of_killed_limiters_is_taken_over_and_runs_once() {
     let kill_faults = kill_faults(&[(0, 0.9), (1, 2.1), (2, 3.3)]);
     for seed in seeds(1) {
         let with = run_site(&both_tables(), seed, &kill_faults);
         assert_rules_hold(&with);
-        assert_eq!(killed_limiters(&with), 3, "seed {seed}");
+        assert_eq!(limiter_kill_count(&with), 3, "seed {seed}");
         let without = run_site(KEYS, seed, &kill_faults);
         assert_rules_hold(&without);
         let (with, without) = (lost_work(&with), lost_work(&without));
@@ -189,14 +199,15 @@
         );
         assert!(
             with.keys >= 3 && with.takeover_attempts >= 3,
-            "others took it over: {with:?}"
+            "other limiters took the work over: {with:?}"
         );
         assert!(with.served * 10 >= with.keys * 6, "{with:?}");
         assert!(without.served * 2 < without.keys, "{without:?}");
     }
 }
 
-/// The owner of the work and one or more of its possible successors are killed, at once and shortly after each other.
+/// The owner of the work and one or more of its possible successors are killed, shortly after each other and at the
+/// same time.
 #[test]
 fn nothing_runs_twice_when_owners_replicas_and_successors_are_killed() {
     let together = "[[fault]]\nat_s = 3.2\nwhat = \"limiters-killed\"\nshare = 0.4\nback_s = 0.4\n";
@@ -208,7 +219,7 @@
             &format!("{one_after_the_other}{together}"),
         );
         assert_rules_hold(&outcome);
-        assert_eq!(killed_limiters(&outcome), 7, "seed {seed}");
+        assert_eq!(limiter_kill_count(&outcome), 7, "seed {seed}");
         assert!(
             lost_work(&outcome).takeover_attempts > 0,
             "seed {seed}: {:?}",
@@ -217,11 +228,11 @@
     }
 }
 
-/// Two limiters are cut off from the other three in both directions or one; one in each part is killed with work in
-/// flight.
+/// Two limiters are cut off from the other three, first in both directions, then in one. Each time, one limiter on each
+/// side is killed with work in flight.
 #[test]
 fn nothing_runs_twice_when_limiters_are_killed_on_both_sides_of_a_split() {
-    let cut = |at: f64, way: &str| {
+    let split = |at: f64, way: &str| {
         format!(
             "[[fault]]\nat_s = {at}\nwhat = \"peers-split\"\ngroup = [0, 1]\nway = \"{way}\"\nfor_s = 1.2\n"
         )
@@ -231,12 +242,12 @@
         let outcome = run_site(
             &both_tables(),
             seed,
-            &format!("{}{}{kill_faults}", cut(0.8, "both"), cut(2.8, "out")),
+            &format!("{}{}{kill_faults}", split(0.8, "both"), split(2.8, "out")),
         );
         assert_rules_hold(&outcome);
         assert_eq!(
             (
-                killed_limiters(&outcome),
+                limiter_kill_count(&outcome),
                 fault_count(&outcome, "split from")
             ),
             (4, 2),
@@ -245,7 +256,7 @@
     }
 }
 
-/// An owner that is paused and resumed is not treated as dead: it keeps its work.
+/// A limiter that is paused and resumed is not treated as dead and keeps its work.
 #[test]
 fn work_of_a_paused_limiter_is_not_taken_over() {
     let pause = |limiter: usize, at: f64, length: f64| {
@@ -284,8 +295,8 @@
     )
 }
 
-/// The owner is killed at each stage: with a key granted and nothing sent, with an attempt requested, recorded, sent,
-/// answered, stored at the replicas, and while the client gets its response.
+/// The owner is killed at each stage of a request: when its key is granted and nothing sent; when the attempt is
+/// requested, recorded, sent or answered; when the response is stored at the replicas; while it is sent to the client.
 #[test]
 fn nothing_runs_twice_when_an_owner_is_killed_at_any_stage() {
     for seed in seeds(5) {
@@ -301,17 +312,17 @@
                 .collect();
             let outcome = run_site(&both_tables(), seed, &faults);
             assert_rules_hold(&outcome);
-            let stood = stopped_limiters(&outcome);
+            let stopped = stopped_limiters(&outcome);
             assert_eq!(
-                (stood.len(), killed_limiters(&outcome)),
+                (stopped.len(), limiter_kill_count(&outcome)),
                 (3, 3),
-                "seed {seed}, {points:?}: {stood:?}"
+                "seed {seed}, {points:?}: {stopped:?}"
             );
         }
     }
 }
 
-/// The successor is killed with the work in flight, before it sends the attempt and after it has the response.
+/// The successor is killed during the takeover: before it sends the attempt, or after it has received the response.
 #[test]
 fn nothing_runs_twice_when_a_successor_is_killed_during_takeover() {
     for seed in seeds(6) {
@@ -333,8 +344,8 @@
     }
 }
 
-/// The gap that no fencing token closes: the owner stops after its replicas allowed the attempt and before it is
-/// written.
+/// The gap that no fencing token closes: the owner stops after its replicas have allowed the attempt and before it
+/// writes the attempt to the server.
 #[test]
 fn nothing_runs_twice_when_an_owner_stops_before_sending_and_resumes() {
     for seed in seeds(7) {
@@ -363,22 +374,23 @@
     }
 }
 
-/// One disk of three is faulty; its limiter is killed twice, another once. The two other replicas know what it lost.
+/// The disk of one limiter is faulty. That limiter is killed twice and another one once; the two other replicas of its
+/// work still have the records that it lost.
 #[test]
 fn nothing_runs_twice_when_one_disk_is_faulty() {
     for seed in seeds(8) {
-        for lie in ["forgets:8", "tears:8", "flips:8", "fills:12", "stalls:12"] {
-            let lies = format!(
-                "[[fault]]\nat_s = 0\nwhat = \"disk-lies\"\nlimiter = 1\nlie = \"{lie}\"\n"
+        for disk_fault in ["forgets:8", "tears:8", "flips:8", "fills:12", "stalls:12"] {
+            let fault = format!(
+                "[[fault]]\nat_s = 0\nwhat = \"disk-lies\"\nlimiter = 1\nlie = \"{disk_fault}\"\n"
             );
             let kill_faults = kill_faults(&[(1, 1.2), (2, 2.2), (1, 3.2)]);
-            let outcome = run_site(&both_tables(), seed, &format!("{lies}{kill_faults}"));
+            let outcome = run_site(&both_tables(), seed, &format!("{fault}{kill_faults}"));
             assert_rules_hold(&outcome);
-            let lied = fault_count(&outcome, &format!("lies: {lie}"));
+            let disk_fault_count = fault_count(&outcome, &format!("lies: {disk_fault}"));
             assert_eq!(
-                (lied, killed_limiters(&outcome)),
+                (disk_fault_count, limiter_kill_count(&outcome)),
                 (1, 3),
-                "seed {seed}, {lie}"
+                "seed {seed}, {disk_fault}"
             );
         }
     }
@@ -386,11 +398,11 @@
 
 /// The fault records of limiters that stopped at a point of their code.
 fn stopped_limiters(outcome: &Outcome) -> Vec<&str> {
-    let named = outcome.events.iter().filter_map(|event| match &event.kind {
+    let fault_names = outcome.events.iter().filter_map(|event| match &event.kind {
         EventKind::Fault { name } => Some(name.as_str()),
         _ => None,
     });
-    named
+    fault_names
         .filter(|name| name.contains("stands still at"))
         .collect()
 }
--- a/crates/emberpin-testbed/tests/told.rs
+++ b/crates/emberpin-testbed/tests/told.rs
@@ -4,53 +4,55 @@
 mod common;
 
 use common::{
-    assert_rules_hold, call_times_after, count_events, discovery_calls, killed_limiters,
-    limiters_that, run_site_with,
+    assert_rules_hold, count_events, discovery_call_times_after, discovery_calls, distinct_values,
+    limiter_kill_count, run_site_with,
 };
 use emberpin_testbed::site::Outcome;
-use emberpin_testbed::start_summary::Starts;
+use emberpin_testbed::start_summary::StartSummary;
 use emberpin_testbed::trace::{Event, EventKind, Incarnation, Micros, ServerState, SECOND};
 use std::collections::BTreeMap;
 
-/// Limiters that start together without an endpoint list; the discovery service can answer each of them once in 4 s.
+/// Limiters that start together without an endpoint list, with cold servers; the discovery service needs 4 s to answer
+/// each limiter once.
 const COLD_START: &str =
     "[site]\nlimiters = 24\nservers = 8\ntogether = true\ncold = true\nknown = false\none_address = true\nlist_power = 6\n\
                         [load]\nrate = 24\nusage = 0.3\nretries = 0\n";
+/// Operator file: the rate of calls that the discovery service can answer, and that three of the limiters call it.
 const START_TABLE: &str = "[start]\nlist_calls_per_s = 6\ncallers = 3\nlist_service = \"site\"\n";
 
-fn run_site(text: &str, seed: u64) -> Outcome {
-    run_site_with(START_TABLE, true, text, seed)
+fn run_site(scenario_tables: &str, seed: u64) -> Outcome {
+    run_site_with(START_TABLE, true, scenario_tables, seed)
 }
 
 #[test]
 fn a_few_limiters_call_and_the_others_get_the_list_from_peers() {
     let outcome = run_site(&format!("seconds = 12\n{COLD_START}"), 1);
     assert_rules_hold(&outcome);
-    let starts = Starts::from_outcome(&outcome);
+    let starts = StartSummary::from_outcome(&outcome);
     assert!(
         starts.ready[1].is_some_and(|last| last < 3.0),
-        "all got the list: {starts:?}"
+        "all limiters got the list early: {starts:?}"
     );
-    let (asked, failed) = discovery_calls(&outcome, 0.0, 12.0);
+    let (calls, failed) = discovery_calls(&outcome, 0.0, 12.0);
     assert!(
-        asked <= 6 && failed == 0,
-        "{asked} calls: {:?}",
-        call_times_after(&outcome, 0.0)
+        calls <= 6 && failed == 0,
+        "{calls} calls: {:?}",
+        discovery_call_times_after(&outcome, 0.0)
     );
 }
 
-/// The limiters among 24 that hold the watches, in the order of their call slots.
+/// Which of the 24 limiters keep a watch open at the discovery service, in the order of their call slots.
 const WATCHING_LIMITERS: [usize; 3] = [0, 17, 10];
 
-/// The first three callers are killed just as they call; others replace them and the rest get the list.
+/// The first three callers are killed during their calls; other limiters call instead, and all others get the list.
 #[test]
 fn callers_killed_as_they_call_are_replaced() {
     let fault = "[[fault]]\nat_s = 0\nwhat = \"callers-killed\"\nshare = 0.125\nback_s = 6\n";
     let outcome = run_site(&format!("seconds = 12\n{COLD_START}{fault}"), 2);
     assert_rules_hold(&outcome);
-    assert_eq!(killed_limiters(&outcome), 3, "each was killed as it called");
+    assert_eq!(limiter_kill_count(&outcome), 3, "each caller was killed");
     let first_ready = |limiter| {
-        let is_ready = |event: &&Event| matches!(event.kind, EventKind::LimiterReady { limiter: of } if of == limiter);
+        let is_ready = |event: &&Event| matches!(event.kind, EventKind::LimiterReady { limiter: ready } if ready == limiter);
         outcome
             .events
             .iter()
@@ -61,12 +63,13 @@
     assert_eq!(ready_times.len(), 24);
     assert!(
         ready_times.iter().filter(|at| **at < 3.0).count() == 21,
-        "the others got the list: {ready_times:?}"
+        "all but the killed limiters got the list early: {ready_times:?}"
     );
-    let (asked, failed) = discovery_calls(&outcome, 0.0, 12.0);
-    assert!(asked <= 10 && failed <= 3, "{asked} calls, {failed} failed");
+    let (calls, failed) = discovery_calls(&outcome, 0.0, 12.0);
+    assert!(calls <= 10 && failed <= 3, "{calls} calls, {failed} failed");
 }
 
+/// Limiters and servers that have started before the load begins.
 const RUNNING_SITE: &str =
     "[site]\nlimiters = 24\nservers = 8\none_address = true\nlist_power = 6\nnotice_ms = [100, 300]\n\
                        [load]\nrate = 60\nusage = 0.3\nretries = 0\n";
@@ -81,7 +84,8 @@
     drain_fault(1, at) + &drain_fault(4, at + 1.0)
 }
 
-/// Recorded notifications of drains; an update that one limiter gets counts as notified to all.
+/// Number of notifications of drains: one for each drain and limiter, since an update that one limiter gets is recorded
+/// for all of them.
 fn drain_notifications(outcome: &Outcome) -> usize {
     count_events(outcome, |kind| {
         matches!(
@@ -94,7 +98,7 @@
     })
 }
 
-/// All watching limiters are killed: a few others call instead, and drains that these learn of reach all.
+/// All watching limiters are killed: a few others call instead, and send the drains that they are notified of to all.
 #[test]
 fn watching_limiters_killed_together_are_replaced_and_drains_reach_all() {
     let kill = |limiter: &usize| {
@@ -106,27 +110,27 @@
         3,
     );
     assert_rules_hold(&outcome);
-    assert_eq!(killed_limiters(&outcome), 3);
-    let called = limiters_that(&outcome, 0, 6, common::discovery_caller);
+    assert_eq!(limiter_kill_count(&outcome), 3);
+    let called = distinct_values(&outcome, 0, 6, common::discovery_caller);
     assert!(
         WATCHING_LIMITERS
             .iter()
             .all(|caller| called.contains(caller))
             && called.len() <= 5,
-        "they hold the watches: {called:?}"
+        "all watching limiters called, and few others: {called:?}"
     );
-    let (asked, failed) = discovery_calls(&outcome, 6.0, 16.0);
+    let (calls, failed) = discovery_calls(&outcome, 6.0, 16.0);
     assert!(
-        (3..=8).contains(&asked) && failed == 0,
-        "{asked} calls, {failed} failed"
+        (3..=8).contains(&calls) && failed == 0,
+        "{calls} calls, {failed} failed"
     );
     assert_eq!(drain_notifications(&outcome), 2 * 24);
-    let starts = Starts::from_outcome(&outcome);
-    assert!(starts.served(2, 16) > 0.95, "{starts:?}");
+    let starts = StartSummary::from_outcome(&outcome);
+    assert!(starts.served_share(2, 16) > 0.95, "{starts:?}");
 }
 
-/// A third of the limiters can't send to the rest, can't receive from them, or both: they detect it, call the
-/// discovery service themselves, and obey the drains announced meanwhile, as the others do.
+/// A third of the limiters can't send to the rest, can't receive from them, or both. They detect it and call the
+/// discovery service themselves; drains announced in this time reach all limiters.
 #[test]
 fn limiters_cut_off_in_one_or_both_directions_call_for_themselves() {
     for (seed, way) in [(4, "both"), (5, "out"), (6, "back")] {
@@ -143,26 +147,26 @@
             &outcome,
             |kind| matches!(kind, EventKind::Fault { name } if name.contains("split from")),
         );
-        assert!(cut > 0, "{way}: they were cut off");
-        let mut own = limiters_that(&outcome, 5, 14, common::discovery_caller);
-        own.retain(|limiter| group.contains(limiter));
+        assert!(cut > 0, "{way}: the network was split");
+        let mut callers = distinct_values(&outcome, 5, 14, common::discovery_caller);
+        callers.retain(|limiter| group.contains(limiter));
         assert!(
-            (1..=8).contains(&own.len()),
-            "{way}: {own:?} called for themselves"
+            (1..=8).contains(&callers.len()),
+            "{way}: callers in the group that was cut off: {callers:?}"
         );
         assert_eq!(drain_notifications(&outcome), 2 * 24, "{way}");
         assert_eq!(
             discovery_calls(&outcome, 0.0, 16.0).1,
             0,
-            "{way}: none failed"
+            "{way}: no call failed"
         );
-        let starts = Starts::from_outcome(&outcome);
-        assert!(starts.served(2, 16) > 0.95, "{way}: {starts:?}");
+        let starts = StartSummary::from_outcome(&outcome);
+        assert!(starts.served_share(2, 16) > 0.95, "{way}: {starts:?}");
     }
 }
 
-/// Half of the limiters get an older list from the service, of before its servers moved, and are cut off from the other
-/// half: the halves hold different lists until peers send the newer one.
+/// Half of the limiters get an older list from the service, from before the servers moved, and are cut off from the
+/// other half. The halves have different lists until the split heals and peers send the newer one.
 #[test]
 fn a_newer_list_from_peers_replaces_an_older_one() {
     let moved: String = (0..8)
@@ -180,20 +184,20 @@
     let text = format!("seconds = 14\n{site}{moved}{older}{split}");
     let outcome = run_site(&text, 7);
     assert_rules_hold(&outcome);
-    let answered = limiters_that(&outcome, 0, 6, common::served_discovery_caller);
+    let answered = distinct_values(&outcome, 0, 6, common::served_discovery_caller);
     assert!(
         answered.iter().any(|limiter| half.contains(limiter)),
         "a caller got the older list"
     );
-    let starts = Starts::from_outcome(&outcome);
+    let starts = StartSummary::from_outcome(&outcome);
     assert!(
-        starts.served(3, 6) < 0.8,
+        starts.served_share(3, 6) < 0.8,
         "the half that was cut off used the older list: {starts:?}"
     );
-    assert!(starts.served(9, 14) > 0.95, "{starts:?}");
+    assert!(starts.served_share(9, 14) > 0.95, "{starts:?}");
 }
 
-/// One of the watching limiters is paused for 8 s and resumes with a list from before a drain.
+/// One of the watching limiters is paused for 8 s. When it resumes, its list is from before the drains.
 #[test]
 fn a_paused_watching_limiter_is_replaced_and_updated_when_it_resumes() {
     let fault = "[[fault]]\nat_s = 5\nwhat = \"limiter-paused\"\nlimiter = 17\nfor_s = 8\n";
@@ -208,13 +212,14 @@
         ),
         0
     );
-    let asked = call_times_after(&outcome, 5.0);
+    let call_times = discovery_call_times_after(&outcome, 5.0);
     assert!(
-        (1..=4).contains(&asked.len()) && asked[0] > 8.0,
-        "one replaced it: {asked:?}"
+        (1..=4).contains(&call_times.len()) && call_times[0] > 8.0,
+        "another limiter called instead: {call_times:?}"
     );
     assert_eq!(drain_notifications(&outcome), 2 * 24);
-    // Only the paused limiter may send late, just after it resumes and before it can have received updates.
+    // Only the paused limiter may still send to a draining server: just after it resumes, before it can receive
+    // updates.
     let mut drains: BTreeMap<Incarnation, Micros> = BTreeMap::new();
     for event in &outcome.events {
         match event.kind {
@@ -236,16 +241,16 @@
                 let late = drains
                     .get(&incarnation)
                     .is_some_and(|since| event.at > since + 600_000);
-                let woke = (13 * SECOND..13 * SECOND + 700_000).contains(&event.at);
-                assert!(!late || (limiter == 17 && woke), "{event}");
+                let just_resumed = (13 * SECOND..13 * SECOND + 700_000).contains(&event.at);
+                assert!(!late || (limiter == 17 && just_resumed), "{event}");
             }
             _ => {}
         }
     }
 }
 
-/// The service is dead for the first 5 s, then lists no server, then half of them, then all: few limiters call when
-/// it is back, and all get each list as soon as the service sends it.
+/// The service is dead for the first 5 s, then lists no server, then half of them, then all. Few limiters call it once
+/// it responds again, and all limiters get each list as soon as the service sends it.
 #[test]
 fn a_service_that_is_dead_at_the_start_and_comes_back_by_parts_is_asked_by_few() {
     let faults = "[[fault]]\nat_s = 0\nwhat = \"discovery-dead\"\nfor_s = 5\n\
@@ -253,53 +258,53 @@
                   [[fault]]\nat_s = 8\nwhat = \"discovery-tells\"\nhow = \"half\"\nfor_s = 3\n";
     let outcome = run_site(&format!("seconds = 16\n{COLD_START}{faults}"), 9);
     assert_rules_hold(&outcome);
-    let (asked, failed) = discovery_calls(&outcome, 0.0, 5.0);
+    let (calls, failed) = discovery_calls(&outcome, 0.0, 5.0);
     assert!(
-        asked >= 24 && asked == failed,
-        "it was dead: {asked}, {failed}"
+        calls >= 24 && calls == failed,
+        "all calls failed while the service was dead: {calls} calls, {failed} failed"
     );
-    let (asked, failed) = discovery_calls(&outcome, 5.1, 16.0);
+    let (calls, failed) = discovery_calls(&outcome, 5.1, 16.0);
     assert!(
-        asked <= 16 && failed == 0,
-        "{asked} calls: {:?}",
-        call_times_after(&outcome, 5.1)
+        calls <= 16 && failed == 0,
+        "{calls} calls: {:?}",
+        discovery_call_times_after(&outcome, 5.1)
     );
-    let starts = Starts::from_outcome(&outcome);
+    let starts = StartSummary::from_outcome(&outcome);
     assert!(
-        starts.served(5, 8) == 0.0,
-        "an empty list was sent: {starts:?}"
+        starts.served_share(5, 8) == 0.0,
+        "the service sent an empty list: {starts:?}"
     );
-    assert!(starts.served(13, 16) > 0.9, "{starts:?}");
+    assert!(starts.served_share(13, 16) > 0.9, "{starts:?}");
 }
 
-/// A list that has lost half of its servers is not applied by any limiter until an operator accepts it at one of them.
+/// No limiter applies a list that has lost half of its servers until an operator accepts it at one limiter with SIGHUP.
 #[test]
 fn a_halved_list_is_rejected_by_all_until_an_operator_accepts_it_at_one() {
     let faults = "[[fault]]\nat_s = 5\nwhat = \"discovery-tells\"\nhow = \"half\"\nfor_s = 20\n\
                   [[fault]]\nat_s = 6\nwhat = \"discovery-dead\"\nfor_s = 0.5\n\
                   [[fault]]\nat_s = 11\nwhat = \"limiter-hung-up\"\nlimiter = 17\n";
-    let operator = START_TABLE.replace("[start]\n", "[start]\nkeep_share = 0.6\n");
+    let operator_tables = START_TABLE.replace("[start]\n", "[start]\nkeep_share = 0.6\n");
     let outcome = run_site_with(
-        &operator,
+        &operator_tables,
         true,
         &format!("seconds = 16\n{RUNNING_SITE}{faults}"),
         11,
     );
     assert_rules_hold(&outcome);
-    let (asked, failed) = discovery_calls(&outcome, 6.5, 16.0);
-    assert!(asked > failed, "half a list was sent");
-    let used = |from: u64, to: u64| {
+    let (calls, failed) = discovery_calls(&outcome, 6.5, 16.0);
+    assert!(calls > failed, "the service sent the halved list");
+    let used_servers = |from: u64, to: u64| {
         let incarnation = |kind: &EventKind| match kind {
             EventKind::AttemptStarted { incarnation, .. } => Some(incarnation.0 as usize),
             _ => None,
         };
-        limiters_that(&outcome, from, to, incarnation).len()
+        distinct_values(&outcome, from, to, incarnation).len()
     };
-    assert_eq!(used(7, 11), 8, "all servers were kept");
+    assert_eq!(used_servers(7, 11), 8, "all servers stayed in use");
     assert_eq!(
-        used(13, 16),
+        used_servers(13, 16),
         4,
-        "acceptance at one limiter removed half everywhere"
+        "after the acceptance at one limiter, all limiters use half of the servers"
     );
 }
 
@@ -309,7 +314,7 @@
         let site = COLD_START.replace("limiters = 24", &format!("limiters = {limiters}"));
         let outcome = run_site(&format!("seconds = 4\n{site}"), 10);
         assert_rules_hold(&outcome);
-        let starts = Starts::from_outcome(&outcome);
+        let starts = StartSummary::from_outcome(&outcome);
         assert!(
             starts.calls == limiters as u64 && starts.ready[1].is_some_and(|at| at < 2.0),
             "{starts:?}"
