--- a/crates/emberpin-limiter/src/limiter.rs
+++ b/crates/emberpin-limiter/src/limiter.rs
@@ -24,7 +24,7 @@
 use crate::operate::operator_api;
 use crate::stages::idempotency::Idempotency;
 use crate::upstream::discovery::Discovery;
-use crate::upstream::driver::{Callers, Driver, Parts};
+use crate::upstream::driver::{Driver, Parts, PriorityChannels};
 use crate::upstream::list_calls::ListCalls;
 use crate::upstream::list_snapshot::ListSnapshot;
 use crate::upstream::list_trust::ListTrust;
@@ -102,7 +102,7 @@
         .as_ref()
         .map_or_else(Clock::start, |state| Clock::resume(state.clock));
     let peers = start_peers(&config, &inputs, inherited)?;
-    let (sibling_events, pairings) = mpsc::channel(MAX_QUEUED_INPUTS);
+    let (sibling_event_tx, sibling_events) = mpsc::channel(MAX_QUEUED_INPUTS);
     let socket_budget = Rc::new(SocketBudget::new(
         older.as_ref().map(|_| assumed_sibling_sockets(&config)),
     ));
@@ -111,21 +111,21 @@
         handover_path,
         older,
         peers.clone(),
-        sibling_events,
+        sibling_event_tx,
         socket_budget.clone(),
     );
     let snapshot = ListSnapshot::start(&config)?;
     if handed_over.is_none() {
         read_snapshot(&mut config, snapshot.as_ref()).await;
     }
-    let rev = handed_over
+    let revision = handed_over
         .as_ref()
-        .map_or(config.known.rev, |state| state.rev);
+        .map_or(config.known.revision, |state| state.rev);
     let list_calls = ListCalls::new(&config, clock.now(), handed_over.is_some());
     let peer_lists = PeerLists::start(&config, link.as_ref(), supersede.clone(), inputs.clone());
     let discovery = Discovery::start(
         config.discovery,
-        rev,
+        revision,
         (list_calls.clone(), peer_lists.clone()),
         inputs.clone(),
     );
@@ -161,7 +161,10 @@
         socket_budget,
     );
     spawn_local(pool.clone().track_sibling());
-    let callers = Callers { commands, pairings };
+    let channels = PriorityChannels {
+        commands,
+        sibling_events,
+    };
     let parts = Parts {
         clock,
         inputs,
@@ -173,7 +176,7 @@
         metrics,
         pool,
     };
-    let driver = spawn_local(Driver::new(config, parts, handed_over).run(received, callers));
+    let driver = spawn_local(Driver::new(config, parts, handed_over).run(received, channels));
 
     tokio::select! {
         () = become_ready(list_trust, &client_listener, &ready) => {}
@@ -245,7 +248,7 @@
         return;
     };
     let newest = snapshot.read(start.disk, start.snapshot_age).await;
-    if let Some(list) = newest.filter(|list| list.rev > config.known.rev) {
+    if let Some(list) = newest.filter(|list| list.revision > config.known.revision) {
         config.known = list;
     }
 }
@@ -307,7 +310,7 @@
                     "emberpin: configuration read again, discovery at {}",
                     config.discovery
                 );
-                discovery.move_to(config.discovery);
+                discovery.switch_to(config.discovery);
                 if let Some(list_trust) = &list_trust {
                     list_trust.override_doubt();
                 }
--- a/crates/emberpin-limiter/src/upstream/discovery.rs
+++ b/crates/emberpin-limiter/src/upstream/discovery.rs
@@ -22,8 +22,8 @@
 use tokio::time::{timeout, Instant};
 
 const PATH: &str = "/registry/instances";
-/// A watch that receives nothing for this long is ended. An idle watch sends an empty line every 2 s, so a longer silence
-/// may be a dead connection.
+/// A watch that receives nothing for this long is ended. An idle watch sends an empty line every 2 s, so a longer
+/// silence may be a dead connection.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(4_500);
 
 /// Controls the watch of the list service.
@@ -33,10 +33,10 @@
 }
 
 impl Discovery {
-    /// Starts a watch that runs for as long as the process, at first for changes after the revision `rev`.
+    /// Starts a watch that is renewed for as long as the process runs, at first for changes after this revision.
     pub fn start(
         address: SocketAddr,
-        rev: u64,
+        revision: u64,
         (list_calls, peer_lists): (Rc<ListCalls>, Option<Rc<PeerLists>>),
         inputs: mpsc::Sender<Input>,
     ) -> Discovery {
@@ -47,61 +47,62 @@
         spawn_local(run_watches(
             discovery.address.subscribe(),
             discovery.refetch.clone(),
-            rev,
+            revision,
             (list_calls, peer_lists),
             inputs,
         ));
         discovery
     }
 
-    /// Notifying this fetches the full list again.
+    /// A notification of the returned handle makes the watch start again with the full list.
     pub fn refetch(&self) -> Rc<Notify> {
         self.refetch.clone()
     }
 
-    /// Switches to a list service at another address at once. The present list stays valid until that service has sent its
-    /// own.
-    pub fn move_to(&self, address: SocketAddr) {
+    /// Switches to the list service at this address at once. The current list stays in use until that service has sent
+    /// its own.
+    pub fn switch_to(&self, address: SocketAddr) {
         self.address
-            .send_if_modified(|known| std::mem::replace(known, address) != address);
+            .send_if_modified(|current| std::mem::replace(current, address) != address);
     }
 }
 
-/// Runs one watch after another, for as long as the process.
+/// Runs one watch after another, for as long as the process runs.
 async fn run_watches(
     mut address: watch::Receiver<SocketAddr>,
     refetch: Rc<Notify>,
-    rev: u64,
+    revision: u64,
     (list_calls, peer_lists): (Rc<ListCalls>, Option<Rc<PeerLists>>),
     inputs: mpsc::Sender<Input>,
 ) {
-    let mut since = Some(rev);
-    let (mut service_generation, mut full_list_wanted) = (0, false);
+    let mut since = Some(revision);
+    let (mut service_generation, mut full_list_requested) = (0, false);
     if peer_lists.is_none() {
         list_calls.wait_for_first_call().await;
     }
     loop {
         let service_address = *address.borrow_and_update();
-        let watching = async {
-            // Waits until it is this limiter's turn to watch, unless the full list was requested.
-            if let (Some(peer_lists), false) = (&peer_lists, std::mem::take(&mut full_list_wanted))
+        let next_watch = async {
+            // Where peers send lists, waits for this limiter's turn to watch, unless the full list was requested.
+            if let (Some(peer_lists), false) =
+                (&peer_lists, std::mem::take(&mut full_list_requested))
             {
                 tokio::select! {
                     () = peer_lists.wait_for_turn(&list_calls) => since = peer_lists.revision().or(since),
                     () = refetch.notified() => since = None,
                 }
             }
-            let (began, mut result) = (Instant::now(), WatchResult::default());
+            let (started_at, mut result) = (Instant::now(), WatchResult::default());
             let surplus = async {
                 match &peer_lists {
-                    Some(peer_lists) => peer_lists.wait_for_surplus().await,
+                    Some(peer_lists) => peer_lists.wait_until_surplus().await,
                     None => std::future::pending().await,
                 }
             };
-            let yielded = tokio::select! {
+            let is_surplus = tokio::select! {
                 () = run_watch((service_address, service_generation), &mut since, &mut result, peer_lists.as_deref(), &inputs) => false,
                 () = refetch.notified() => {
-                    (since, full_list_wanted) = (None, true);
+                    (since, full_list_requested) = (None, true);
                     false
                 }
                 () = surplus => true,
@@ -109,8 +110,8 @@
             if let Some(peer_lists) = &peer_lists {
                 peer_lists.set_watching(false);
             }
-            // A watch that received something worked: only watches without any event are followed by a growing delay.
-            let ended = match result {
+            // The delay until the next watch grows only after watches that received no event.
+            let outcome = match result {
                 WatchResult {
                     received_event: true,
                     ..
@@ -120,20 +121,20 @@
                     ..
                 } => CallOutcome::RetryAfter { delay: wait },
                 WatchResult { response_time, .. } => CallOutcome::Failed {
-                    after: response_time.unwrap_or_else(|| began.elapsed()),
+                    after: response_time.unwrap_or_else(|| started_at.elapsed()),
                 },
             };
-            if !yielded {
-                tokio::time::sleep(list_calls.next_delay(ended)).await;
+            if !is_surplus {
+                tokio::time::sleep(list_calls.next_delay(outcome)).await;
             }
         };
         tokio::select! {
-            () = watching => {}
-            moved = address.changed() => {
-                if moved.is_err() {
+            () = next_watch => {}
+            changed = address.changed() => {
+                if changed.is_err() {
                     return;
                 }
-                // Revisions of one service mean nothing at another: its full list is fetched.
+                // Revisions of different services cannot be compared, so the full list is fetched from the new one.
                 (since, service_generation) = (None, service_generation + 1);
                 list_calls.on_service_changed();
                 if let Some(peer_lists) = &peer_lists {
@@ -147,11 +148,11 @@
 /// The result of one watch.
 #[derive(Default)]
 struct WatchResult {
-    /// It received at least one event, keep-alives included.
+    /// Whether it received at least one event, keep-alives included.
     received_event: bool,
-    /// The time until the service sent the head of its response; `None` if it sent none.
+    /// The time until the list service sent the head of its response; `None` if it sent none.
     response_time: Option<Duration>,
-    /// The service rejected it and asked for a retry after this time.
+    /// The delay that the list service asked for when it rejected the watch (`Retry-After`).
     retry_after: Option<Duration>,
 }
 
@@ -184,17 +185,18 @@
         };
         result.response_time = Some(began.elapsed());
         if response.status() != hyper::StatusCode::OK {
-            let wait = response
+            let retry_after = response
                 .headers()
                 .get(RETRY_AFTER)
                 .and_then(|value| value.to_str().ok());
             // In seconds; a date, which RFC 9110, section 10.2.3, allows too, is ignored.
-            result.retry_after = wait
-                .and_then(|wait| wait.trim().parse().ok())
+            result.retry_after = retry_after
+                .and_then(|seconds| seconds.trim().parse().ok())
                 .map(Duration::from_secs);
             return;
         }
-        // A watch from the present revision is up to date at once: it sends only what is newer.
+        // The service sends only changes after `since`. If that is the revision of the accepted list, the watch is up
+        // to date as soon as the response begins.
         if let Some(peer_lists) =
             peer_lists.filter(|peer_lists| since.is_some() && peer_lists.revision() == *since)
         {
@@ -214,7 +216,7 @@
                         service_generation,
                         ..list
                     };
-                    *since = Some(list.rev);
+                    *since = Some(list.revision);
                     if inputs.send(Input::Listing(list)).await.is_err() {
                         return;
                     }
--- a/crates/emberpin-limiter/src/upstream/driver.rs
+++ b/crates/emberpin-limiter/src/upstream/driver.rs
@@ -34,16 +34,17 @@
     metrics: Arc<LimiterMetrics>,
     peers: Option<Rc<Peers>>,
     list_calls: Rc<ListCalls>,
+    /// Notified to fetch the full list again from the list service.
     refetch: Rc<Notify>,
     /// Decides which lists are accepted, where `[start]` is on.
     list_trust: Option<Rc<ListTrust>>,
     peer_lists: Option<Rc<PeerLists>>,
     /// The revision of the applied list.
-    rev: u64,
+    revision: u64,
     /// Which list service that list is from, see [`EndpointList::service_generation`].
     service_generation: u32,
     /// Messages to the sibling process of this limiter, during an upgrade.
-    other: Option<mpsc::Sender<Update>>,
+    sibling: Option<mpsc::Sender<Update>>,
 }
 
 /// The limiter's parts that the driver uses.
@@ -59,12 +60,12 @@
     pub pool: Rc<Pool>,
 }
 
-/// The channels that the driver receives from before its inputs.
-pub struct Callers {
+/// The channels whose messages the driver handles before its inputs.
+pub struct PriorityChannels {
     /// Commands of operators.
     pub commands: mpsc::Receiver<ServerCommand>,
     /// Events about a sibling process, during an upgrade.
-    pub pairings: mpsc::Receiver<Sibling>,
+    pub sibling_events: mpsc::Receiver<Sibling>,
 }
 
 impl Driver {
@@ -83,7 +84,7 @@
         } = parts;
         spawn_local(pool.clone().expire_idle());
         let mut roster = Roster::default();
-        let (gateway, known) = match state {
+        let (gateway, initial_list) = match state {
             None => (
                 Gateway::new(config.settings, config.seed, clock.now()),
                 config.known,
@@ -96,9 +97,9 @@
         let mut driver = Driver {
             pool,
             engine: Engine::new(gateway, clock, inputs),
-            rev: known.rev,
+            revision: initial_list.revision,
             service_generation: 0,
-            other: None,
+            sibling: None,
             names: config.names,
             roster,
             metrics,
@@ -110,26 +111,26 @@
         };
         driver.apply_list(EndpointList {
             full: true,
-            ..known
+            ..initial_list
         });
         driver
     }
 
-    /// Handles inputs, timers and callers until all senders of inputs are dropped.
-    pub async fn run(mut self, mut inputs: mpsc::Receiver<Input>, mut callers: Callers) {
+    /// Handles inputs, timers and the priority channels until all senders of inputs are dropped.
+    pub async fn run(mut self, mut inputs: mpsc::Receiver<Input>, mut channels: PriorityChannels) {
         let timer = sleep_until(Instant::now());
         tokio::pin!(timer);
         loop {
-            let due = self.engine.next_timer();
-            if let Some(due) = due.filter(|due| *due != timer.deadline()) {
+            let next_due = self.engine.next_timer();
+            if let Some(due) = next_due.filter(|due| *due != timer.deadline()) {
                 timer.as_mut().reset(due);
             }
             tokio::select! {
                 biased;
-                // Callers come first: they must be answered however many inputs are queued.
-                Some(command) = callers.commands.recv() => self.carry_out_command(command),
-                Some(event) = callers.pairings.recv() => self.on_sibling_event(event),
-                () = timer.as_mut(), if due.is_some() => self.on_timer(),
+                // First, since operators and the sibling process must be answered however many inputs are queued.
+                Some(command) = channels.commands.recv() => self.carry_out_command(command),
+                Some(event) = channels.sibling_events.recv() => self.on_sibling_event(event),
+                () = timer.as_mut(), if next_due.is_some() => self.on_timer(),
                 input = inputs.recv() => match input {
                     Some(input) => {
                         self.on_input(input);
@@ -147,8 +148,8 @@
         self.publish_pool_size();
     }
 
-    /// Publishes the number of servers. Called when the module's timers fire, which is often
-    /// enough: the gauges may be half a second late.
+    /// Publishes the number of servers. Called when the decision module's timers fire, which is often enough: the
+    /// gauges may be half a second late.
     fn publish_pool_size(&self) {
         let PoolSize { listed, avoided } = self.engine.gateway.pool_size(self.engine.clock.now());
         self.metrics.pool_size.set(listed as i64);
@@ -162,7 +163,7 @@
             out_of_service,
             reply_to,
         } = command;
-        // The caller has already received a response, so nothing is changed.
+        // The operator no longer waits for the confirmation, so the command must not be executed.
         if reply_to.is_closed() {
             return;
         }
@@ -171,8 +172,8 @@
             return;
         };
         self.set_maintenance(server, &name, out_of_service);
-        if let Some(other) = &self.other {
-            _ = other.try_send(Update::Maintenance {
+        if let Some(sibling) = &self.sibling {
+            _ = sibling.try_send(Update::Maintenance {
                 server: name,
                 out: out_of_service,
             });
@@ -202,18 +203,22 @@
     /// A sibling process of this limiter connected, disconnected or sent a message.
     fn on_sibling_event(&mut self, event: Sibling) {
         match event {
-            Sibling::StateRequested(reply_to, other) => {
-                self.other = Some(other);
+            Sibling::StateRequested(reply_to, sibling) => {
+                self.sibling = Some(sibling);
                 self.handle_event(Event::SiblingChanged { running: true });
                 let (targets, names) = self.roster.entries_and_names();
                 let (clock, gateway) = (self.engine.clock.now(), self.engine.gateway.to_handover());
                 // Fails if the next process has exited; its disconnection is reported separately.
                 _ = reply_to.send(HandoverState::new(
-                    clock, self.rev, &targets, names, gateway,
+                    clock,
+                    self.revision,
+                    &targets,
+                    names,
+                    gateway,
                 ));
             }
-            Sibling::Connected(other) => {
-                self.other = Some(other);
+            Sibling::Connected(sibling) => {
+                self.sibling = Some(sibling);
                 self.handle_event(Event::SiblingChanged { running: true });
             }
             Sibling::Update(Update::Usage(usage)) => self.handle_event(Event::SiblingUsage(usage)),
@@ -222,10 +227,10 @@
                 self.roster.remember_name(server, &name);
                 self.set_maintenance(server, &name, out);
             }
-            // Handled by `Upgrade`.
+            // `Upgrade` handles these.
             Sibling::Update(Update::SocketCounts(_)) => {}
             Sibling::Disconnected => {
-                self.other = None;
+                self.sibling = None;
                 self.handle_event(Event::SiblingChanged { running: false });
             }
         }
@@ -244,7 +249,7 @@
                 self.engine
                     .on_attempt_ended(request, attempt, server, ended, true);
             }
-            // Not sent here: attempts end with the time that the module gives them.
+            // Never sent here: this engine ends attempts that exceed their time itself, see `OverdueAttempts::End`.
             Input::Overdue { .. } => {}
             Input::ProbeEnded { server, ended } => self.engine.handle_event(Event::ProbeEnded {
                 server,
@@ -266,7 +271,7 @@
         self.carry_out_other_actions();
     }
 
-    /// Carries out the module's actions that concern no request.
+    /// Carries out the decision module's actions that concern no request.
     fn carry_out_other_actions(&mut self) {
         self.engine.sent_attempts.clear();
         for action in std::mem::take(&mut self.engine.other_actions) {
@@ -278,18 +283,20 @@
                 }
                 Action::FetchServers => self.refetch.notify_one(),
                 Action::ShareUsage(usage) => {
-                    // The queue is full only if the other process does not read; its disconnection follows soon.
-                    if let Some(other) = &self.other {
-                        _ = other.try_send(Update::Usage(usage));
+                    // The queue is full only if the sibling does not read; its disconnection follows soon.
+                    if let Some(sibling) = &self.sibling {
+                        _ = sibling.try_send(Update::Usage(usage));
                     }
                 }
-                // The watch of the list service is always on; the engine has carried out all other actions.
+                // `WatchServers` needs nothing, as the watch of the list service always runs; the engine has carried
+                // out all other actions.
                 _ => {}
             }
         }
     }
 
-    /// Handles a received list, or changes to it. Where lists may be doubted, it is applied only as far as it is accepted.
+    /// Handles a received list, or changes to it. Where lists may be doubted, it is applied only as far as it is
+    /// accepted.
     fn on_list(&mut self, list: EndpointList) {
         let Some(list_trust) = self.list_trust.clone() else {
             return self.apply_list(list);
@@ -299,12 +306,12 @@
         let servers = list.targets.iter().filter(is_present).count();
         let received = ListSummary {
             service_generation: list.service_generation,
-            revision: list.rev,
+            revision: list.revision,
             servers,
         };
         let current = ListSummary {
             service_generation: self.service_generation,
-            revision: self.rev,
+            revision: self.revision,
             servers: self.roster.count(),
         };
         let source = list.source;
@@ -315,10 +322,11 @@
                 ..
             }
         );
-        // A peer may be behind: an older list is applied only if the service sent it, or the peer has confirmed it.
-        let behind = list.service_generation < self.service_generation
-            || (list.service_generation == self.service_generation && list.rev < self.rev);
-        if source != ListSource::Service && behind && !confirmed {
+        // A peer's list may be older than the current one. Such a list is ignored, unless the peer has confirmed it.
+        let is_older = list.service_generation < self.service_generation
+            || (list.service_generation == self.service_generation
+                && list.revision < self.revision);
+        if source != ListSource::Service && is_older && !confirmed {
             return;
         }
         let scope = match list.full {
@@ -340,10 +348,10 @@
             }),
             Verdict::Reject => return,
         }
-        list_trust.save(self.rev, || self.roster.listed());
+        list_trust.save(self.revision, || self.roster.listed());
         if let (Some(peer_lists), false) = (&self.peer_lists, list_trust.is_doubting()) {
             peer_lists.on_list_accepted(
-                self.rev,
+                self.revision,
                 source,
                 verdict == Verdict::AcceptDespiteDoubt,
                 &self.roster.listed(),
@@ -351,10 +359,10 @@
         }
     }
 
-    /// Applies the list to the upstreams first, so that attempts that are about to be sent observe a drain at once, and then
-    /// passes it to the decision module.
+    /// Applies the list to the upstreams first, so that attempts that are about to be sent observe a drain at once, and
+    /// then passes it to the decision module.
     fn apply_list(&mut self, list: EndpointList) {
-        (self.rev, self.service_generation) = (list.rev, list.service_generation);
+        (self.revision, self.service_generation) = (list.revision, list.service_generation);
         let mut listed = BTreeSet::new();
         let mut servers = Vec::new();
         for entry in &list.targets {
@@ -388,8 +396,8 @@
         }
     }
 
-    /// Opens or closes the upstream of a server, according to the list and to maintenance. A new incarnation or address of
-    /// the server starts without connections.
+    /// Opens or closes the upstream of a server, according to the list and to maintenance. A new incarnation or address
+    /// of the server starts without connections.
     fn update_upstream(&mut self, id: ServerId) {
         let instance = self
             .roster
@@ -405,8 +413,8 @@
         {
             return;
         }
-        if let Some(known) = self.engine.upstreams.remove(&id) {
-            known.close();
+        if let Some(previous) = self.engine.upstreams.remove(&id) {
+            previous.close();
         }
         if let Some(instance) = instance {
             self.engine
@@ -416,8 +424,8 @@
     }
 }
 
-/// Restores the decision module and the endpoint list from the state that the previous process handed over, and adds all
-/// server names that it knew to the roster.
+/// Restores the decision module and the endpoint list from the state that the previous process handed over, and adds
+/// all server names that it knew to the roster.
 fn resume(
     state: HandoverState,
     settings: Settings,
@@ -443,7 +451,7 @@
     };
     eprintln!("emberpin: state taken over from the previous process: {what}");
     let list = EndpointList {
-        rev: state.rev,
+        revision: state.rev,
         full: true,
         targets: targets.into_iter().map(Entry::Target).collect(),
         service_generation: 0,
--- a/crates/emberpin-limiter/src/upstream/endpoint_list.rs
+++ b/crates/emberpin-limiter/src/upstream/endpoint_list.rs
@@ -10,13 +10,14 @@
 #[derive(Debug, Default, Deserialize)]
 pub struct EndpointList {
     /// The revision of the list, with any changes applied.
-    pub rev: u64,
+    #[serde(rename = "rev")]
+    pub revision: u64,
     #[serde(rename = "all")]
     /// Whether this is the full list; otherwise it contains only changed entries.
     pub full: bool,
     pub targets: Vec<Entry>,
-    /// Which list service it comes from: 0 for the first one that this process used, 1 for the next, and so on. Revisions
-    /// of different services cannot be compared.
+    /// Which list service it comes from: 0 for the first one that this process used, 1 for the next, and so on.
+    /// Revisions of different services cannot be compared.
     #[serde(skip)]
     pub service_generation: u32,
     /// Who sent it.
@@ -30,7 +31,8 @@
     /// The list service.
     #[default]
     Service,
-    /// Another limiter, which accepted it in this epoch; `confirmed` if that limiter first doubted the list and then accepted it.
+    /// Another limiter, which accepted it in this epoch; `confirmed` if a limiter first doubted the list and then
+    /// accepted it.
     Peer { epoch: u32, confirmed: bool },
 }
 
@@ -79,7 +81,7 @@
         server_id(&self.uid)
     }
 
-    /// The entry as the decision module takes it.
+    /// The entry in the form that the decision module takes.
     ///
     /// # Errors
     ///
@@ -92,7 +94,7 @@
             cell: self.pod_group,
             capacity: self
                 .capacity_hint
-                .filter(|size| size.is_finite() && *size > 0.0),
+                .filter(|capacity| capacity.is_finite() && *capacity > 0.0),
             started_at: Some(self.boot_ms).filter(|at| *at != 0.0),
             status: match self.state {
                 State::Ready => ServerStatus::InService,
--- a/crates/emberpin-limiter/src/upstream/lifetimes.rs
+++ b/crates/emberpin-limiter/src/upstream/lifetimes.rs
@@ -1,32 +1,32 @@
 //! Estimates how long an idle connection to a server can be used, from the outcomes of requests on such connections. No
 //! I/O, and no clock of its own.
 //!
-//! A firewall, an address translator or the server itself may drop a connection silently, long before the stated time:
-//! the next request on it is reset, and may have run. Idle times are grouped into classes, each twice as long as the one
-//! before. A class in which requests are lost clearly more often than on young connections is closed, and opened again
-//! after a pause that doubles each time.
+//! A firewall, an address translator or the server itself may drop an idle connection silently, long before the
+//! keep-alive time that the server states: the next request on it is reset, and may have run. Idle times are grouped
+//! into classes, each twice as long as the one before. A class in which requests are lost clearly more often than on
+//! young connections is closed, and opened again after a pause that doubles each time.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
 /// A connection that was idle for less than this is young. Each doubling of this time begins another class.
-const YOUNG: Duration = Duration::from_millis(25);
+const YOUNG_LIMIT: Duration = Duration::from_millis(25);
 /// Number of classes of idle times; the last has no upper bound.
-const AGE_CLASSES: usize = 13;
+const CLASS_COUNT: usize = 13;
 /// Minimum number of uses of connections of a class before it may be closed.
 const MIN_USES: f64 = 8.0;
-/// Lower bound of the baseline, the loss ratio of young connections.
-const MIN_USUAL_LOSS: f64 = 0.02;
-/// A class is closed only if its loss ratio exceeds the baseline by at least this much,
+/// Lower bound of the baseline, which is the loss ratio of young connections.
+const MIN_BASELINE: f64 = 0.02;
+/// A class is closed only if its loss ratio exceeds the baseline by more than this.
 const MIN_EXCESS_LOSS: f64 = 0.1;
-/// and by at least this many standard deviations.
+/// A class is closed only if its loss ratio exceeds the baseline by more than this many standard deviations.
 const MIN_DEVIATIONS: f64 = 4.0;
 /// Number of uses that the moving average of a class spans.
-const AGE_WINDOW: f64 = 32.0;
+const CLASS_WINDOW: f64 = 32.0;
 /// Number of uses that the moving average of young connections spans.
 const YOUNG_WINDOW: f64 = 512.0;
-/// How long a class stays closed, the first time and at most; the time doubles with each closing.
-const CLOSED_TIME: (Duration, Duration) = (Duration::from_secs(10), Duration::from_secs(320));
+/// How long a class stays closed: the first time, and at most. The time doubles with each closing.
+const PAUSE_RANGE: (Duration, Duration) = (Duration::from_secs(10), Duration::from_secs(320));
 
 /// A moving average of the share of uses that were lost.
 #[derive(Clone, Copy, Default)]
@@ -46,65 +46,69 @@
 
 /// The state of one class of idle times.
 #[derive(Clone, Copy, Default)]
-struct AgeClass {
-    share: LossRatio,
+struct IdleClass {
+    losses: LossRatio,
     closed_until: Option<Instant>,
-    /// How long it was closed the last time.
+    /// How long it was closed last.
     pause: Duration,
 }
 
 /// The losses of requests on connections to servers, by the time that the connections had been idle.
 #[derive(Default)]
 pub struct Lifetimes {
-    /// New connections, and those that were idle for less than [`YOUNG`].
+    /// New connections, and those that were idle for less than [`YOUNG_LIMIT`].
     young: LossRatio,
-    ages: [AgeClass; AGE_CLASSES],
+    classes: [IdleClass; CLASS_COUNT],
 }
 
 impl Lifetimes {
-    /// The class of an idle time; `None` for young connections.
-    fn class(idle: Duration) -> Option<usize> {
-        let doublings = (idle.as_secs_f64() / YOUNG.as_secs_f64()).log2();
-        (doublings >= 0.0).then_some((doublings as usize).min(AGE_CLASSES - 1))
+    /// The index of the class of an idle time; `None` for young connections.
+    fn class_index(idle: Duration) -> Option<usize> {
+        let doublings = (idle.as_secs_f64() / YOUNG_LIMIT.as_secs_f64()).log2();
+        (doublings >= 0.0).then_some((doublings as usize).min(CLASS_COUNT - 1))
     }
 
     /// Records that a request on a connection that had been idle for `idle` (zero if it was new) was lost with the
-    /// connection, or answered. If a class is closed for that, returns its shortest idle time and how long it stays closed.
+    /// connection, or answered. If its class is closed because of that, returns the shortest idle time of the class and
+    /// how long the class stays closed.
     pub fn record(
         &mut self,
         now: Instant,
         idle: Duration,
         lost: bool,
     ) -> Option<(Duration, Duration)> {
-        let Some(class) = Lifetimes::class(idle) else {
+        let Some(index) = Lifetimes::class_index(idle) else {
             self.young.add(lost, YOUNG_WINDOW);
             return None;
         };
-        let age = &mut self.ages[class];
-        age.share.add(lost, AGE_WINDOW);
-        let baseline = self.young.ratio.clamp(MIN_USUAL_LOSS, 1.0 - MIN_USUAL_LOSS);
-        let deviation = MIN_DEVIATIONS * (baseline * (1.0 - baseline) / age.share.uses).sqrt();
-        if age.share.uses < MIN_USES || age.share.ratio <= baseline + deviation.max(MIN_EXCESS_LOSS)
+        let class = &mut self.classes[index];
+        class.losses.add(lost, CLASS_WINDOW);
+        let baseline = self.young.ratio.clamp(MIN_BASELINE, 1.0 - MIN_BASELINE);
+        let deviation = MIN_DEVIATIONS * (baseline * (1.0 - baseline) / class.losses.uses).sqrt();
+        if class.losses.uses < MIN_USES
+            || class.losses.ratio <= baseline + deviation.max(MIN_EXCESS_LOSS)
         {
             return None;
         }
-        let pause = (age.pause * 2).clamp(CLOSED_TIME.0, CLOSED_TIME.1);
-        (age.pause, age.closed_until) = (pause, Some(now + pause));
-        // Starts over when the class opens again, as do the longer ones, which are not used until then.
-        self.ages[class..]
+        let pause = (class.pause * 2).clamp(PAUSE_RANGE.0, PAUSE_RANGE.1);
+        (class.pause, class.closed_until) = (pause, Some(now + pause));
+        // The averages of this class and of the longer ones, which are not used while it is closed, start anew when it
+        // opens again.
+        self.classes[index..]
             .iter_mut()
-            .for_each(|age| age.share = LossRatio::default());
-        Some((YOUNG * (1 << class), pause))
+            .for_each(|class| class.losses = LossRatio::default());
+        Some((YOUNG_LIMIT * (1 << index), pause))
     }
 
-    /// Whether a connection that has been idle for `idle` should be used: neither its class nor a shorter one is closed.
+    /// Whether a connection that has been idle for `idle` should be used: neither its class nor a shorter one is
+    /// closed.
     pub fn is_usable(&self, now: Instant, idle: Duration) -> bool {
-        let Some(class) = Lifetimes::class(idle) else {
+        let Some(index) = Lifetimes::class_index(idle) else {
             return true;
         };
-        self.ages[..=class]
+        self.classes[..=index]
             .iter()
-            .all(|age| age.closed_until.is_none_or(|until| now >= until))
+            .all(|class| class.closed_until.is_none_or(|until| now >= until))
     }
 }
 
@@ -114,13 +118,13 @@
 
     const MS: fn(u64) -> Duration = Duration::from_millis;
 
-    /// Simulates uses of connections that were idle for up to 2 s. Those idle for longer than `cut` are lost, and of the
-    /// others the share `share`. Returns the number of uses, and how many of them were lost.
+    /// Simulates uses of connections that were idle for up to 2 s. Those idle for longer than `max_idle` are
+    /// lost, and the share `loss_ratio` of the others. Returns the number of uses, and how many of them were lost.
     fn simulate_uses(
         lifetimes: &mut Lifetimes,
         now: Instant,
-        cut: Duration,
-        share: f64,
+        max_idle: Duration,
+        loss_ratio: f64,
         uses: u64,
     ) -> (u64, u64) {
         let (mut used, mut lost) = (0, 0);
@@ -128,11 +132,11 @@
         for _ in 0..uses {
             let idle = MS(random.rand_range(0..2_000));
             if lifetimes.is_usable(now, idle) {
-                let is_lost = idle > cut || random.rand_float() < share;
+                let is_lost = idle > max_idle || random.rand_float() < loss_ratio;
                 lifetimes.record(now, idle, is_lost);
                 (used, lost) = (used + 1, lost + u64::from(is_lost));
             }
-            lifetimes.record(now, Duration::ZERO, random.rand_float() < share);
+            lifetimes.record(now, Duration::ZERO, random.rand_float() < loss_ratio);
         }
         (used, lost)
     }
@@ -162,7 +166,7 @@
         let (mut lifetimes, mut now) = (Lifetimes::default(), Instant::now());
         simulate_uses(&mut lifetimes, now, MS(100), 0.1, 2_000);
         assert!(!lifetimes.is_usable(now, MS(1_000)));
-        now += CLOSED_TIME.1 * 2;
+        now += PAUSE_RANGE.1 * 2;
         assert!(lifetimes.is_usable(now, MS(1_000)));
         simulate_uses(&mut lifetimes, now, MS(10_000), 0.1, 2_000);
         assert!((0..2_000).all(|idle| lifetimes.is_usable(now, MS(idle))));
--- a/crates/emberpin-limiter/src/upstream/list_calls.rs
+++ b/crates/emberpin-limiter/src/upstream/list_calls.rs
@@ -1,5 +1,5 @@
-//! When this limiter calls the list service: the decisions of `emberpin_startup::call_schedule` with a clock, a random
-//! source and the messages of peers.
+//! When this limiter calls the list service: hosts a [`CallSchedule`] with a clock, a random source and the messages of
+//! peers.
 
 use crate::operate::config::Config;
 use emberpin_balancer::{gossip, GatewayId};
@@ -15,38 +15,39 @@
 
 /// When this incarnation of the limiter calls the list service.
 pub struct ListCalls {
-    calls: RefCell<CallSchedule>,
+    schedule: RefCell<CallSchedule>,
     random: RefCell<oorandom::Rand64>,
     started_at: Instant,
     /// When this incarnation started, in milliseconds of the clock that all limiters share.
     started_at_ms: f64,
-    /// The first call was made, or is no longer delayed.
+    /// Whether the first call was made, or is not to be delayed.
     first_call_made: Cell<bool>,
+    /// Notified after each message of a peer that came before the first call.
     peer_observed: Notify,
 }
 
 impl ListCalls {
-    /// Starts at `now` milliseconds of the clock that all limiters share. If `resumed`, which means that another process
-    /// handed over its state, the first call is made at once.
+    /// `now` is the time in milliseconds of the clock that all limiters share. If `resumed`, which means that another
+    /// process handed over its state, the first call is made at once.
     pub fn new(config: &Config, now: f64, resumed: bool) -> Rc<ListCalls> {
         let mut random = oorandom::Rand64::new(u128::from(config.seed));
         let position = GroupPosition {
             number: config.settings.gateway_id.0,
             size: config.settings.group_size,
         };
-        // Without `[start]`, changes to the list apply from when the service would have sent them: a limiter that already
-        // knows servers calls at once.
+        // Without `[start]`, changes to the list must be applied in time, so a limiter that already knows servers, and
+        // whose list may be outdated, calls at once.
         let may_wait = config.start.is_some() || config.known.targets.is_empty();
         let calls_per_s = config
             .start
             .as_ref()
             .and_then(|start| start.list_calls_per_s);
-        let calls = match may_wait {
+        let schedule = match may_wait {
             true => CallSchedule::staggered(position, calls_per_s, random.rand_float()),
             false => CallSchedule::immediate(position),
         };
         Rc::new(ListCalls {
-            calls: RefCell::new(calls),
+            schedule: RefCell::new(schedule),
             random: RefCell::new(random),
             started_at: Instant::now(),
             started_at_ms: now,
@@ -58,7 +59,7 @@
     /// Waits until the first call is due.
     pub async fn wait_for_first_call(&self) {
         while !self.first_call_made.get() {
-            let due = self.started_at + self.calls.borrow().first_call_at();
+            let due = self.started_at + self.schedule.borrow().first_call_at();
             tokio::select! {
                 () = sleep_until(due) => self.first_call_made.set(true),
                 () = self.peer_observed.notified() => {}
@@ -66,10 +67,10 @@
         }
     }
 
-    /// The delay of this limiter's first call, counted from the start, or from when it no longer receives updates from
-    /// peers.
+    /// The delay of this limiter's first call, counted from the start or from when too few other limiters watch the
+    /// list service.
     pub fn first_call_delay(&self) -> Duration {
-        self.calls.borrow().first_call_at()
+        self.schedule.borrow().first_call_at()
     }
 
     /// Records that the first call is made now.
@@ -77,7 +78,7 @@
         self.first_call_made.set(true);
     }
 
-    /// Returns once another message of a peer was observed before the first call.
+    /// Returns once a peer's message has come before the first call, and may have changed `first_call_delay`.
     pub async fn peer_observed(&self) {
         self.peer_observed.notified().await;
     }
@@ -96,18 +97,18 @@
             true => PeerStart::Together,
             false => PeerStart::Earlier,
         };
-        self.calls.borrow_mut().on_peer_message(from.0, start);
+        self.schedule.borrow_mut().on_peer_message(from.0, start);
         self.peer_observed.notify_one();
     }
 
     /// The delay before the next call, after one that ended with this outcome.
-    pub fn next_delay(&self, ended: CallOutcome) -> Duration {
+    pub fn next_delay(&self, outcome: CallOutcome) -> Duration {
         let draw = self.random.borrow_mut().rand_float();
-        self.calls.borrow_mut().next_delay(ended, draw)
+        self.schedule.borrow_mut().next_delay(outcome, draw)
     }
 
-    /// Another list service is used from now on.
+    /// Resets the backoff, since another list service is used from now on.
     pub fn on_service_changed(&self) {
-        self.calls.borrow_mut().on_service_changed();
+        self.schedule.borrow_mut().on_service_changed();
     }
 }
--- a/crates/emberpin-limiter/src/upstream/list_snapshot.rs
+++ b/crates/emberpin-limiter/src/upstream/list_snapshot.rs
@@ -1,6 +1,6 @@
-//! A snapshot of the endpoint list on disk, in the format of `emberpin_startup::snapshot`. It is read once at the start,
-//! and written by a thread of its own. A disk that fails, returns corrupt data or stalls costs the snapshot, but neither
-//! the start nor the service.
+//! A snapshot of the endpoint list on disk, in the format of `emberpin_startup::snapshot`. It is read once at the
+//! start, and written by a thread of its own. If the disk fails, returns corrupt data or stalls, the limiter starts and
+//! runs without the snapshot.
 
 use crate::operate::config::Config;
 use crate::upstream::endpoint_list::{EndpointList, Entry, ListSource, Target};
@@ -31,7 +31,7 @@
     ///
     /// # Errors
     ///
-    /// One line, if the thread cannot be started.
+    /// A message of one line, if the thread cannot be started.
     pub fn start(config: &Config) -> Result<Option<ListSnapshot>, String> {
         let (Some(start), Some(folder)) = (&config.start, &config.snapshot) else {
             return Ok(None);
@@ -45,13 +45,13 @@
         let thread = std::thread::Builder::new()
             .name("list".into())
             .spawn(move || run_writer(&folder, &next));
-        thread.map_err(|e| format!("[start] snapshot: no thread: {e}"))?;
+        thread.map_err(|e| format!("[start] snapshot: cannot start its thread: {e}"))?;
         Ok(Some(snapshot))
     }
 
-    /// Reads the list that an earlier incarnation saved. Returns `None` if there is none, if it is older than `max_age` or
-    /// otherwise unusable, or if the disk does not deliver it within `within`.
-    pub async fn read(&self, within: Duration, max_age: Duration) -> Option<EndpointList> {
+    /// Reads the list that an earlier incarnation saved. Returns `None` if there is none, if it is older than `max_age`
+    /// or otherwise unusable, or if reading takes longer than `time_limit`.
+    pub async fn read(&self, time_limit: Duration, max_age: Duration) -> Option<EndpointList> {
         let path = self.folder.join(FILE);
         let shown = path.display().to_string();
         let (reply_to, contents) = oneshot::channel();
@@ -61,10 +61,10 @@
             .name("list-read".into())
             .spawn(reading)
         {
-            eprintln!("emberpin: {shown}: no thread: {problem}; starting without it");
+            eprintln!("emberpin: {shown}: cannot start a thread to read it: {problem}; starting without it");
             return None;
         }
-        let bytes = match timeout(within, contents).await {
+        let bytes = match timeout(time_limit, contents).await {
             Ok(Ok(Ok(bytes))) => bytes,
             Ok(Ok(Err(problem))) if problem.kind() == io::ErrorKind::NotFound => return None,
             Ok(Ok(Err(problem))) => {
@@ -74,7 +74,7 @@
             Ok(Err(_)) | Err(_) => {
                 eprintln!(
                     "emberpin: {shown}: the disk did not deliver it within {} ms; starting without it",
-                    within.as_millis()
+                    time_limit.as_millis()
                 );
                 return None;
             }
@@ -89,7 +89,7 @@
                     );
                     let targets = targets.into_iter().map(Entry::Target).collect();
                     Some(EndpointList {
-                        rev: header.revision,
+                        revision: header.revision,
                         full: true,
                         targets,
                         service_generation: 0,
@@ -109,14 +109,14 @@
     }
 
     /// Schedules this list to be written.
-    pub fn save(&self, rev: u64, targets: &[Target]) {
+    pub fn save(&self, list_revision: u64, targets: &[Target]) {
         let Ok(entries) = serde_json::to_vec(targets) else {
             return;
         };
         let header = SnapshotHeader {
             owner: self.owner.clone(),
             written_at: SystemTime::now(),
-            revision: rev,
+            revision: list_revision,
         };
         let (next, wake) = &*self.next;
         *next.lock().unwrap_or_else(PoisonError::into_inner) = Some(encode(&header, &entries));
@@ -138,11 +138,11 @@
     loop {
         let bytes = {
             let guard = next.0.lock().unwrap_or_else(PoisonError::into_inner);
-            let mut woken = next
+            let mut scheduled = next
                 .1
                 .wait_while(guard, |next| next.is_none())
                 .unwrap_or_else(PoisonError::into_inner);
-            woken.take().unwrap_or_default()
+            scheduled.take().unwrap_or_default()
         };
         match write(folder, &bytes) {
             Ok(()) => failing = false,
--- a/crates/emberpin-limiter/src/upstream/list_trust.rs
+++ b/crates/emberpin-limiter/src/upstream/list_trust.rs
@@ -1,5 +1,5 @@
-//! Decides which endpoint lists are accepted where the operator has set `[start]`, and when the limiter is ready: runs the
-//! decisions of `emberpin_startup` with a clock, a random source and a disk. A list that would remove many servers is
+//! Decides which endpoint lists are accepted where the operator has set `[start]`, and when the limiter is ready: hosts
+//! [`ListGuard`] and [`Readiness`] with a clock, a random source and a disk. A list that would remove many servers is
 //! doubted: it is rejected or only merged, and the full list is fetched again.
 
 use crate::operate::config::Config;
@@ -17,19 +17,19 @@
 pub struct ListTrust {
     started_at: Instant,
     guard: RefCell<ListGuard>,
-    ready: RefCell<Readiness>,
-    /// When the limiter becomes ready whatever servers it knows.
-    ready_at_latest: Instant,
+    readiness: RefCell<Readiness>,
+    /// When the limiter becomes ready even if it knows no servers.
+    ready_deadline: Instant,
     is_ready: watch::Sender<bool>,
     snapshot: Option<ListSnapshot>,
     random: RefCell<oorandom::Rand64>,
     refetch: Rc<Notify>,
-    /// Another fetch of the full list is scheduled.
+    /// Whether another fetch of the full list is scheduled.
     refetch_scheduled: Cell<bool>,
 }
 
 impl ListTrust {
-    /// Starts without any doubt; `None` where `[start]` is off.
+    /// Starts with no list doubted; `None` where `[start]` is off.
     pub fn start(
         config: &Config,
         snapshot: Option<ListSnapshot>,
@@ -43,8 +43,8 @@
                 min_retained_share: start.keep_share,
                 max_doubt: start.max_doubt,
             })),
-            ready: RefCell::new(Readiness::new(start.ready_within)),
-            ready_at_latest: started_at + start.ready_within,
+            readiness: RefCell::new(Readiness::new(start.ready_within)),
+            ready_deadline: started_at + start.ready_within,
             is_ready: watch::Sender::new(false),
             snapshot,
             random: RefCell::new(oorandom::Rand64::new(u128::from(config.seed) ^ 0x6265)),
@@ -58,8 +58,8 @@
         let mut ready = self.is_ready.subscribe();
         tokio::select! {
             _ = ready.wait_for(|ready| *ready) => {}
-            () = sleep_until(self.ready_at_latest) => {
-                self.ready.borrow_mut().update(self.started_at.elapsed(), 0);
+            () = sleep_until(self.ready_deadline) => {
+                self.readiness.borrow_mut().update(self.started_at.elapsed(), 0);
             }
         }
     }
@@ -95,12 +95,12 @@
         verdict
     }
 
-    /// Records that a full list was accepted because a peer, which had doubted it too, has confirmed it.
+    /// Records that a full list is accepted without evaluation, because a limiter accepted it after a doubt.
     pub fn on_confirmed_list(&self) {
         self.guard.borrow_mut().on_full_list_accepted();
     }
 
-    /// Whether the list received last is doubted.
+    /// Whether a list was doubted and no full list has been accepted since.
     pub fn is_doubting(&self) -> bool {
         self.guard.borrow().is_doubting()
     }
@@ -108,25 +108,26 @@
     /// Updates the readiness with the number of servers that requests may be sent to.
     pub fn update_readiness(&self, servers: usize) {
         let ready = self
-            .ready
+            .readiness
             .borrow_mut()
             .update(self.started_at.elapsed(), servers);
         self.is_ready
-            .send_if_modified(|was| !std::mem::replace(was, ready) && ready);
+            .send_if_modified(|was_ready| !std::mem::replace(was_ready, ready) && ready);
     }
 
-    /// Saves a list that was received since the start. The list that an incarnation starts with is not saved: the snapshot
-    /// would seem as recent as the incarnation.
-    pub fn save(&self, rev: u64, targets: impl FnOnce() -> Vec<Target>) {
+    /// Saves a list that was received since the start. The list that an incarnation starts with is not saved: with
+    /// the time of the start, its snapshot would look newer than the list is.
+    pub fn save(&self, revision: u64, targets: impl FnOnce() -> Vec<Target>) {
         if let Some(snapshot) = &self.snapshot {
             let targets = targets();
             if !targets.is_empty() {
-                snapshot.save(rev, &targets);
+                snapshot.save(revision, &targets);
             }
         }
     }
 
-    /// Follows an operator's order to accept the next full list of the list service.
+    /// Carries out an operator's override: if a list is doubted, the full list is fetched again and accepted whatever
+    /// it contains.
     pub fn override_doubt(&self) {
         if self.guard.borrow_mut().override_doubt() {
             eprintln!("emberpin: the next full endpoint list will be accepted");
--- a/crates/emberpin-limiter/src/upstream/list_watch.rs
+++ b/crates/emberpin-limiter/src/upstream/list_watch.rs
@@ -1,5 +1,5 @@
-//! Parses the stream of a watch of the list service: endpoint lists, each on one line or indented over several, and empty
-//! lines as keep-alives. No I/O.
+//! Parses the stream of a watch of the list service: endpoint lists, each on one line or indented over several, and
+//! empty lines as keep-alives. No I/O.
 
 use crate::upstream::endpoint_list::EndpointList;
 
@@ -15,7 +15,7 @@
     List(EndpointList),
 }
 
-/// A list cannot be parsed. It may have contained a server that drains, so the full list must be fetched again.
+/// A list cannot be parsed. It may contain a server that drains, so it must be fetched again.
 #[derive(Debug, PartialEq)]
 pub struct InvalidList;
 
@@ -26,13 +26,13 @@
     buffer: Vec<u8>,
     /// How many of these bytes were parsed.
     parsed_length: usize,
-    /// Where the present line starts.
-    line: usize,
+    /// Where the current line starts.
+    line_start: usize,
     /// How many objects and arrays are open.
     depth: usize,
-    /// Inside a JSON string.
+    /// Whether the next byte is inside a JSON string.
     in_string: bool,
-    /// The next byte of the string is escaped.
+    /// Whether the next byte of the string is escaped.
     escaped: bool,
 }
 
@@ -69,21 +69,21 @@
 
     /// Handles the end of a line. A list ends with it if no object or array is open.
     fn on_line_end(&mut self) -> Result<Option<WatchEvent>, InvalidList> {
-        let line = self.buffer[self.line..self.parsed_length].trim_ascii();
-        let first = self.line == 0;
-        if first && line.is_empty() {
+        let line = self.buffer[self.line_start..self.parsed_length].trim_ascii();
+        let is_first = self.line_start == 0;
+        if is_first && line.is_empty() {
             self.reset();
             return Ok(Some(WatchEvent::KeepAlive));
         }
         if self.depth > 0 {
-            // An indented list begins with `{` on a line of its own, and contains no empty line and no line that begins with
-            // `{`. Anything else that is open at the end of its line was truncated.
-            let continues = if first {
+            // An indented list begins with `{` on a line of its own, and contains no empty line and no line that begins
+            // with `{`. Anything else that is open at the end of its line was truncated.
+            let continues = if is_first {
                 line == b"{"
             } else {
-                !line.is_empty() && self.buffer[self.line] != b'{'
+                !line.is_empty() && self.buffer[self.line_start] != b'{'
             };
-            self.line = self.parsed_length;
+            self.line_start = self.parsed_length;
             return if continues && !self.in_string {
                 Ok(None)
             } else {
@@ -113,8 +113,8 @@
     const COMPACT: &str = r#"{"rev":7,"all":true,"targets":[{"uid":"a\"}{[","endpoint":"127.0.0.1:1","az":"x","state":"ready"}]}"#;
 
     fn indented() -> String {
-        let value: serde_json::Value = serde_json::from_str(COMPACT).expect("sound");
-        serde_json::to_string_pretty(&value).expect("written")
+        let value: serde_json::Value = serde_json::from_str(COMPACT).expect("valid JSON");
+        serde_json::to_string_pretty(&value).expect("serializable")
     }
 
     /// The events of a text that arrives in pieces of this many bytes, as text.
@@ -125,7 +125,7 @@
             all.extend(watch.push(bytes)?.into_iter().map(|event| match event {
                 WatchEvent::KeepAlive => "nothing".to_string(),
                 WatchEvent::List(list) => {
-                    format!("{} of {}", list.targets.len(), list.rev)
+                    format!("{} of {}", list.targets.len(), list.revision)
                 }
             }));
         }
@@ -136,7 +136,7 @@
     fn lists_are_parsed_on_one_line_or_indented_over_several() {
         let text = format!("\n{COMPACT}\n\r\n{}\n\n{COMPACT}\r\n", indented());
         for piece in [1, 3, 64, 4096] {
-            let words = parsed(&text, piece).expect("sound");
+            let words = parsed(&text, piece).expect("valid lists");
             assert_eq!(
                 words,
                 ["nothing", "1 of 7", "nothing", "1 of 7", "nothing", "1 of 7"],
--- a/crates/emberpin-limiter/src/upstream/roster.rs
+++ b/crates/emberpin-limiter/src/upstream/roster.rs
@@ -1,5 +1,5 @@
-//! The names of all servers that were ever listed, and the entries of those that are listed now. Resolves the server names
-//! in operators' commands. No I/O.
+//! The names of all servers that were ever listed, and the entries of those that are listed now. Resolves the server
+//! names in operators' commands. No I/O.
 //!
 //! Whether an operator has taken a server out of service is recorded in the decision module, not here.
 
@@ -46,8 +46,8 @@
             return;
         }
         if self.order.len() >= MAX_NAMES {
-            if let Some(first) = self.order.pop_front() {
-                self.names.remove(&first);
+            if let Some(oldest) = self.order.pop_front() {
+                self.names.remove(&oldest);
             }
         }
         self.names.insert(id, name.into());
@@ -87,7 +87,7 @@
             .map(|_| id)
     }
 
-    /// The server's present incarnation, if it is listed as ready and has an address.
+    /// The server's current incarnation, if it is listed as ready and has an address.
     pub fn ready_instance(&self, id: ServerId) -> Option<ServerInstance> {
         let target = self
             .listed
--- a/crates/emberpin-limiter/src/upstream/wire.rs
+++ b/crates/emberpin-limiter/src/upstream/wire.rs
@@ -19,25 +19,26 @@
         instance: Option<&HeaderValue>,
     );
 
-    /// The id by which a response to a request with these headers is recognised; `None` where responses carry no request id.
+    /// The id by which a response to a request with these headers is recognised; `None` where responses carry no
+    /// request id.
     fn request_id(&self, headers: &HeaderMap) -> Option<HeaderValue>;
 
     /// Whether a response with these headers belongs to the request with this id, and not to an earlier one on the same
     /// connection.
     fn response_belongs(&self, request_id: Option<&HeaderValue>, headers: &HeaderMap) -> bool;
 
-    /// The outcome of an attempt that received this response. [`Outcome::Ok`] means that the response is a success, which
-    /// the client may receive.
+    /// The outcome of an attempt that received this response. [`Outcome::Ok`] means that the response is a success,
+    /// which the client may receive.
     fn outcome(&self, request_id: Option<&HeaderValue>, response: &Response<()>) -> Outcome;
 
-    /// Whether a server may begin to run a request of which only a part has arrived. If so, an attempt that broke off after
-    /// its first byte may have run.
+    /// Whether a server may begin to run a request of which only a part has arrived. If so, an attempt that broke off
+    /// after its first byte may have run.
     fn may_run_in_part(&self) -> bool {
         false
     }
 
-    /// How long the server states that it keeps the idle connection open, less a safety margin; `None` if it does not state
-    /// it.
+    /// How long the server states that it keeps the idle connection open, less a safety margin; `None` if it does not
+    /// state it.
     fn idle_timeout(&self, headers: &HeaderMap) -> Option<Duration>;
 
     /// Extracts the information in the head of a response whose attempt had this outcome.
