--- a/crates/emberpin-limiter/src/between/handover.rs
+++ b/crates/emberpin-limiter/src/between/handover.rs
@@ -1,5 +1,6 @@
-//! Carries out an upgrade of this limiter from one process to the next: the handover socket in `$TMPDIR`, the connection
-//! between the two processes, and the messages on it. Which process does what, and when, is decided in `emberpin_upgrade`.
+//! Carries out an upgrade of this limiter from one process to the next: the handover socket in `$TMPDIR`, the
+//! connection between the two processes, and the messages on it. Which process does what, and when, is decided in
+//! `emberpin_upgrade`.
 
 use crate::between::peers::Peers;
 use crate::front::socket_budget::{SocketBudget, SocketCounts};
@@ -22,7 +23,8 @@
 
 /// File name of the handover socket in `$TMPDIR`, at which a new process finds the running one.
 const SOCKET_FILE: &str = "emberpin.handover";
-/// The older process must deliver its whole state within this time; otherwise the new one starts as after a kill.
+/// The older process must deliver its whole state within this time; otherwise the new one starts without it, as after a
+/// kill.
 const STATE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// A process that connects to the handover socket must send its hello within this time.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(500);
@@ -42,7 +44,7 @@
     pub rev: u64,
     /// Its endpoint list, as JSON.
     targets: Vec<u8>,
-    /// Names of all servers that it ever received.
+    /// The names of all servers that it has ever received.
     pub names: Vec<String>,
     /// The state of the decision module.
     pub gateway: Handover,
@@ -70,7 +72,7 @@
     }
 }
 
-/// A message by which each of the two processes keeps the other up to date.
+/// A message with which each of the two processes keeps the other up to date.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Update {
     /// Quota that was used.
@@ -82,10 +84,10 @@
 }
 
 /// An event about the other process of this limiter, for the driver.
-pub enum Sibling {
-    /// A newer process asks for the state: send it to the first sender, and later messages to the second.
+pub enum SiblingEvent {
+    /// A newer process requests the state: the first sender takes the state, and the second the messages that follow.
     StateRequested(oneshot::Sender<HandoverState>, mpsc::Sender<Update>),
-    /// This process runs beside the older one: send messages to it.
+    /// This process runs beside the older one: the sender takes the messages for it.
     Connected(mpsc::Sender<Update>),
     /// The other process sent a message.
     Update(Update),
@@ -93,14 +95,16 @@
     Disconnected,
 }
 
-/// This process's part in upgrades: its state, and the parts of the limiter that an upgrade affects.
+/// The upgrades of this process, from its predecessor and to its successor: the state machine, and the parts of the
+/// limiter that an upgrade affects.
 pub struct Upgrade {
     process: RefCell<Process>,
     bind_path: Option<PathBuf>,
     peers: Option<Rc<Peers>>,
-    driver: mpsc::Sender<Sibling>,
-    /// Accounts for the descriptors that the other process uses.
+    driver: mpsc::Sender<SiblingEvent>,
+    /// Accounts for the sockets that the other process uses.
     socket_budget: Rc<SocketBudget>,
+    /// The task that accepts connections on the handover socket.
     listening: RefCell<Option<JoinHandle<()>>>,
 }
 
@@ -129,18 +133,18 @@
     socket_path: Option<&Path>,
 ) -> Result<Option<(HandoverState, Predecessor)>, String> {
     let mut actions = Vec::new();
-    let found = match socket_path {
+    let stream = match socket_path {
         Some(path) => timeout(STATE_TIMEOUT, UnixStream::connect(path))
             .await
             .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())),
         None => Err(io::ErrorKind::NotFound.into()),
     };
-    let started = match found.is_ok() {
+    let started = match stream.is_ok() {
         true => Event::StartedWithPredecessor,
         false => Event::StartedAlone,
     };
     process.handle(started, &mut actions);
-    let Ok(stream) = found else { return Ok(None) };
+    let Ok(stream) = stream else { return Ok(None) };
     let (event, state) = match timeout(STATE_TIMEOUT, fetch_state(stream)).await {
         Ok(Ok((Message::State(body), stream))) => {
             match postcard::from_bytes::<HandoverState>(&body) {
@@ -175,11 +179,11 @@
         .write_all(&frame::encode_hello())
         .await
         .map_err(|e| e.to_string())?;
-    let message = read(&mut stream).await?;
+    let message = read_message(&mut stream).await?;
     Ok((message, stream))
 }
 
-async fn read(from: &mut (impl AsyncReadExt + Unpin)) -> Result<Message<Update>, String> {
+async fn read_message(from: &mut (impl AsyncReadExt + Unpin)) -> Result<Message<Update>, String> {
     let mut head = [0; HEADER_LEN];
     from.read_exact(&mut head)
         .await
@@ -191,7 +195,7 @@
     frame::decode(&head, &body).map_err(|e| e.to_string())
 }
 
-async fn write(
+async fn write_message(
     to: &mut (impl AsyncWriteExt + Unpin),
     message: &Message<Update>,
 ) -> Result<(), String> {
@@ -207,7 +211,7 @@
         bind_path: Option<PathBuf>,
         predecessor: Option<Predecessor>,
         peers: Option<Rc<Peers>>,
-        driver: mpsc::Sender<Sibling>,
+        driver: mpsc::Sender<SiblingEvent>,
         socket_budget: Rc<SocketBudget>,
     ) -> Rc<Upgrade> {
         let upgrade = Rc::new(Upgrade {
@@ -225,16 +229,19 @@
         if let Some(Predecessor { stream }) = predecessor {
             let upgrade = upgrade.clone();
             spawn_local(async move {
-                let (outgoing, queued) = mpsc::channel(MAX_QUEUED_MESSAGES);
-                _ = upgrade.driver.send(Sibling::Connected(outgoing)).await;
-                upgrade.clone().exchange_messages(stream, queued).await;
+                let (outgoing, queued_messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
+                _ = upgrade.driver.send(SiblingEvent::Connected(outgoing)).await;
+                upgrade
+                    .clone()
+                    .exchange_messages(stream, queued_messages)
+                    .await;
                 upgrade.handle(Event::PredecessorDisconnected).await;
             });
         }
         upgrade
     }
 
-    /// Handles the request to terminate, which is the same with and without a newer process that accepts the clients.
+    /// Handles a request to terminate, whether or not a newer process has taken over.
     pub async fn terminate(self: &Rc<Self>) {
         self.handle(Event::TerminationRequested).await;
     }
@@ -257,15 +264,15 @@
                     }
                 }
                 Action::BindHandoverSocket => self.bind_socket(),
-                // The next process holds no sockets yet, and reports its counts as soon as they change.
+                // The next process has no sockets open yet, and reports its counts as soon as they change.
                 Action::ShareDescriptors => self
                     .socket_budget
                     .set_sibling(Some(SocketCounts::default())),
                 Action::ReclaimDescriptors => {
                     self.socket_budget.set_sibling(None);
-                    _ = self.driver.send(Sibling::Disconnected).await;
+                    _ = self.driver.send(SiblingEvent::Disconnected).await;
                 }
-                // Carried out by the caller that passed the event.
+                // Carried out by the function that passed the event.
                 Action::RequestState
                 | Action::ServeWithState
                 | Action::ServeWithoutState
@@ -277,24 +284,25 @@
         actions
     }
 
-    /// Binds the handover socket. Replaces whatever is at its path, such as a stale socket or a file.
+    /// Binds the handover socket. Replaces whatever is at its path, such as a stale socket or a file, by binding a
+    /// temporary path and renaming it.
     fn bind_socket(self: &Rc<Self>) {
         let Some(path) = &self.bind_path else { return };
-        let own = path.with_extension(std::process::id().to_string());
-        _ = std::fs::remove_file(&own);
-        let bound = UnixListener::bind(&own).and_then(|listener| {
-            std::fs::rename(&own, path)?;
+        let temporary = path.with_extension(std::process::id().to_string());
+        _ = std::fs::remove_file(&temporary);
+        let bound = UnixListener::bind(&temporary).and_then(|listener| {
+            std::fs::rename(&temporary, path)?;
             Ok(listener)
         });
         match bound {
             Ok(listener) => {
                 let listening = spawn_local(self.clone().listen(listener));
-                if let Some(before) = self.listening.replace(Some(listening)) {
-                    before.abort();
+                if let Some(previous) = self.listening.replace(Some(listening)) {
+                    previous.abort();
                 }
             }
             Err(problem) => {
-                _ = std::fs::remove_file(&own);
+                _ = std::fs::remove_file(&temporary);
                 let path = path.display();
                 eprintln!(
                     "emberpin: cannot bind the handover socket, so an upgrade will hand nothing over: {path}: {problem}"
@@ -310,8 +318,11 @@
                 continue;
             };
             // Processes of other users are rejected.
-            let own = nix::unistd::geteuid().as_raw();
-            if stream.peer_cred().map_or(true, |who| who.uid() != own) {
+            let own_uid = nix::unistd::geteuid().as_raw();
+            if stream
+                .peer_cred()
+                .map_or(true, |peer| peer.uid() != own_uid)
+            {
                 continue;
             }
             let mut hello = [0; HELLO_LEN];
@@ -328,42 +339,50 @@
                 // In its own task, so that this loop can refuse other processes meanwhile.
                 spawn_local(self.clone().send_state(stream));
             } else {
-                _ = timeout(HELLO_TIMEOUT, write(&mut stream, &Message::Refused)).await;
+                _ = timeout(HELLO_TIMEOUT, write_message(&mut stream, &Message::Refused)).await;
             }
         }
     }
 
     async fn send_state(self: Rc<Self>, mut stream: UnixStream) {
-        let (outgoing, queued) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        let (outgoing, queued_messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let (reply_to, state) = oneshot::channel();
         let sent = async {
             self.driver
-                .send(Sibling::StateRequested(reply_to, outgoing))
+                .send(SiblingEvent::StateRequested(reply_to, outgoing))
                 .await
-                .map_err(|_| "no driver")?;
+                .map_err(|_| "the driver has stopped")?;
             let state = state
                 .await
                 .map_err(|_| "the driver did not provide the state")?;
             let body = postcard::to_allocvec(&state).map_err(|e| e.to_string())?;
-            write(&mut stream, &Message::State(body)).await
+            write_message(&mut stream, &Message::State(body)).await
         };
         match timeout(STATE_TIMEOUT, sent).await {
             Ok(Ok(())) => {
                 eprintln!("emberpin: handed over to the next process");
-                self.clone().exchange_messages(stream, queued).await;
+                self.clone()
+                    .exchange_messages(stream, queued_messages)
+                    .await;
             }
             Ok(Err(problem)) => eprintln!("emberpin: not handed over: {problem}"),
-            Err(_) => eprintln!("emberpin: not handed over: the next process does not read"),
+            Err(_) => eprintln!(
+                "emberpin: not handed over: the next process did not receive the state in time"
+            ),
         }
         self.handle(Event::SuccessorDisconnected).await;
     }
 
     /// Exchanges messages with the other process until either direction ends.
-    async fn exchange_messages(self: Rc<Self>, stream: UnixStream, queued: mpsc::Receiver<Update>) {
+    async fn exchange_messages(
+        self: Rc<Self>,
+        stream: UnixStream,
+        queued_messages: mpsc::Receiver<Update>,
+    ) {
         let (from, to) = stream.into_split();
         let (mut receiving, mut sending) = (
             spawn_local(self.clone().receive_messages(from)),
-            spawn_local(self.send_messages(to, queued)),
+            spawn_local(self.send_messages(to, queued_messages)),
         );
         tokio::select! {
             _ = &mut receiving => {}
@@ -374,28 +393,33 @@
     }
 
     async fn receive_messages(self: Rc<Self>, mut from: OwnedReadHalf) {
-        while let Ok(Message::Update(message)) = read(&mut from).await {
+        while let Ok(Message::Update(message)) = read_message(&mut from).await {
             if let Update::SocketCounts(counts) = message {
                 self.socket_budget.set_sibling(Some(counts));
                 continue;
             }
-            if self.driver.send(Sibling::Update(message)).await.is_err() {
+            if self
+                .driver
+                .send(SiblingEvent::Update(message))
+                .await
+                .is_err()
+            {
                 return;
             }
         }
     }
 
-    /// Sends the driver's messages, and the socket counts whenever they have changed.
+    /// Sends the driver's messages, and the socket counts at the start and whenever they have changed.
     async fn send_messages(
         self: Rc<Self>,
         mut to: OwnedWriteHalf,
-        mut queued: mpsc::Receiver<Update>,
+        mut queued_messages: mpsc::Receiver<Update>,
     ) {
         let mut last_sent = None;
         loop {
             let counts = self.socket_budget.in_use();
             let message = if last_sent.replace(counts) == Some(counts) {
-                match timeout(SOCKET_COUNT_INTERVAL, queued.recv()).await {
+                match timeout(SOCKET_COUNT_INTERVAL, queued_messages.recv()).await {
                     Ok(Some(message)) => message,
                     Ok(None) => return,
                     Err(_) => continue,
@@ -403,7 +427,10 @@
             } else {
                 Update::SocketCounts(counts)
             };
-            if write(&mut to, &Message::Update(message)).await.is_err() {
+            if write_message(&mut to, &Message::Update(message))
+                .await
+                .is_err()
+            {
                 return;
             }
         }
--- a/crates/emberpin-limiter/src/between/link.rs
+++ b/crates/emberpin-limiter/src/between/link.rs
@@ -1,5 +1,5 @@
-//! Runs the link between limiters: opens and accepts connections, moves bytes, and passes each received message to the
-//! subscriber of its kind. The state of each peer and the meaning of the bytes are decided in `emberpin_peering`.
+//! Runs the link between limiters: opens and accepts connections, reads and writes them, and passes each received
+//! message to the subscriber of its kind. `emberpin_peering` encodes the messages and determines each peer's state.
 
 use crate::between::tls::{Streams, Tls};
 use crate::operate::config::Config;
@@ -26,9 +26,10 @@
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 /// Maximum number of accepted connections whose handshake is not finished.
 const MAX_PENDING_HANDSHAKES: usize = 64;
-/// Maximum number of queued inputs. While the queue is full, connections are not read, which slows their peers down.
+/// Maximum number of queued inputs. While the queue is full, connections are not read, which applies backpressure to
+/// the peers.
 const MAX_QUEUED_INPUTS: usize = 256;
-/// Maximum size of one message: an answer of the largest size with its key fits.
+/// Maximum size of one message: enough for the longest answer with its key.
 pub const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 /// Maximum number of bytes sent to one member that it has not acknowledged.
 const MAX_UNACKNOWLEDGED_BYTES: usize = 4 << 20;
@@ -38,14 +39,14 @@
 /// The kind of messages about endpoint lists.
 pub const LIST_MESSAGES: u16 = 2;
 /// The kind of messages about requests in flight, which another limiter may take over.
-pub const WORK_MESSAGES: u16 = 3;
+pub const TAKEOVER_MESSAGES: u16 = 3;
 
 /// An event that the link reports to its subscribers.
 #[derive(Clone, Debug)]
 pub enum LinkEvent {
-    /// The member of this number sent a message of the subscribed kind.
+    /// The member with this number sent a message of the subscribed kind.
     MessageReceived { from: u32, body: Vec<u8> },
-    /// The state of the member of this number has changed.
+    /// The state of the member with this number has changed.
     PeerChanged { member: u32, state: PeerState },
     /// A later incarnation of this instance exists: this one must stop.
     Superseded,
@@ -59,7 +60,7 @@
     },
     Accepted {
         streams: Streams,
-        certified: Option<Vec<String>>,
+        dns_names: Option<Vec<String>>,
     },
     Bytes {
         connection: ConnectionId,
@@ -72,10 +73,13 @@
 
 /// The connections of this limiter to the other members, and the subscribers of their messages.
 pub struct Link {
-    core: RefCell<Peering>,
+    peering: RefCell<Peering>,
     tls: Option<Tls>,
+    /// All members by name.
     members: BTreeMap<String, Member>,
+    /// The names of all members by number.
     names: BTreeMap<u32, String>,
+    /// Queues of bytes to be written to each connection.
     writers: RefCell<HashMap<ConnectionId, mpsc::UnboundedSender<Vec<u8>>>>,
     next_connection: std::cell::Cell<u64>,
     inputs: mpsc::Sender<Input>,
@@ -86,12 +90,12 @@
 }
 
 impl Link {
-    /// Starts the link of member `number`: it listens at that member's address and connects to the members in
+    /// Starts the link of member `number`, which listens at this member's own address and connects to the members in
     /// `link_peers`.
     ///
     /// # Errors
     ///
-    /// One line: the keys cannot be used, or the address cannot be listened on.
+    /// One line, if the keys are unusable or the address cannot be listened on.
     pub fn start(
         settings: &operator::Link,
         number: u32,
@@ -116,7 +120,7 @@
             number: u64::try_from(started.as_millis()).unwrap_or(u64::MAX),
             nonce: u64::from_le_bytes(random()?),
         };
-        let core = Peering::new(
+        let peering = Peering::new(
             Settings {
                 cluster: settings.cluster.clone(),
                 local_name: local.name.clone(),
@@ -144,7 +148,7 @@
         );
         let (inputs, received) = mpsc::channel(MAX_QUEUED_INPUTS);
         let link = Rc::new(Link {
-            core: RefCell::new(core),
+            peering: RefCell::new(peering),
             tls,
             members: settings
                 .members
@@ -181,11 +185,11 @@
         events
     }
 
-    /// Sends a message to a member. If it cannot be sent, subscribers soon receive [`LinkEvent::PeerChanged`] with the
-    /// member as unreachable, or the message would have been lost in any case.
+    /// Sends a message to a member, without a guarantee of delivery. Subscribers learn from [`LinkEvent::PeerChanged`]
+    /// which members are unreachable.
     pub fn send(&self, member: u32, kind: u16, body: Vec<u8>) {
         if let Some(name) = self.names.get(&member) {
-            self.step(Event::Send {
+            self.apply(Event::Send {
                 peer: name.clone(),
                 kind,
                 body,
@@ -198,7 +202,7 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                _ = ticks.tick() => self.step(Event::Tick),
+                _ = ticks.tick() => self.apply(Event::Tick),
                 input = received.recv() => match input {
                     Some(input) => self.on_input(input),
                     None => return,
@@ -209,33 +213,33 @@
 
     fn on_input(self: &Rc<Self>, input: Input) {
         match input {
-            Input::Dialed { to, streams: None } => self.step(Event::ConnectFailed { peer: to }),
+            Input::Dialed { to, streams: None } => self.apply(Event::ConnectFailed { peer: to }),
             Input::Dialed {
                 to,
                 streams: Some(streams),
             } => {
                 let connection = self.open(streams);
-                self.step(Event::Connected {
+                self.apply(Event::Connected {
                     connection,
                     peer: to,
                 });
             }
-            Input::Accepted { streams, certified } => {
+            Input::Accepted { streams, dns_names } => {
                 let connection = self.open(streams);
-                self.step(Event::Accepted {
+                self.apply(Event::Accepted {
                     connection,
-                    certificate_names: certified,
+                    certificate_names: dns_names,
                 });
             }
-            Input::Bytes { connection, bytes } => self.step(Event::Received { connection, bytes }),
+            Input::Bytes { connection, bytes } => self.apply(Event::Received { connection, bytes }),
             Input::Closed { connection } => {
                 self.writers.borrow_mut().remove(&connection);
-                self.step(Event::Closed { connection });
+                self.apply(Event::Closed { connection });
             }
         }
     }
 
-    /// Assigns an id to a connection, and moves its bytes both ways until either side ends it.
+    /// Assigns an id to a connection, and reads and writes it in a task until either direction ends.
     fn open(self: &Rc<Self>, (mut reader, mut writer): Streams) -> ConnectionId {
         let connection = ConnectionId(self.next_connection.replace(self.next_connection.get() + 1));
         let (writer_queue, mut queued) = mpsc::unbounded_channel::<Vec<u8>>();
@@ -262,7 +266,7 @@
                     }
                 }
             };
-            // The connection ends when either direction does.
+            // The connection ends as soon as either direction does.
             tokio::select! {
                 () = writing => {}
                 () = reading => {}
@@ -272,10 +276,10 @@
         connection
     }
 
-    /// Passes an event to the core and carries out its actions.
-    fn step(&self, event: Event) {
+    /// Passes an event to the peering state machine and carries out its actions.
+    fn apply(&self, event: Event) {
         let mut actions = Vec::new();
-        self.core.borrow_mut().handle_event(
+        self.peering.borrow_mut().handle_event(
             Timestamp::from_millis(boot_clock()),
             event,
             &mut actions,
@@ -295,7 +299,7 @@
                     }
                     self.writers.borrow_mut().remove(&connection);
                 }
-                // A kind without a subscriber is ignored: a later version of a peer may use it.
+                // Messages of a kind without a subscriber are ignored: peers of a later version may send new kinds.
                 Action::Deliver {
                     peer, kind, body, ..
                 } => {
@@ -345,7 +349,7 @@
         let Some(address) = self.members.get(&to).map(|member| member.address) else {
             return;
         };
-        let (inputs, tls, within) = (
+        let (inputs, tls, time_limit) = (
             self.inputs.clone(),
             self.tls.clone(),
             self.handshake_time_limit,
@@ -359,7 +363,7 @@
                     None => Some(split(stream)),
                 }
             };
-            let streams = timeout(within, dialing).await.ok().flatten();
+            let streams = timeout(time_limit, dialing).await.ok().flatten();
             _ = inputs.send(Input::Dialed { to, streams }).await;
         });
     }
@@ -371,27 +375,27 @@
                 return;
             };
             let Ok((stream, _)) = listener.accept().await else {
-                // For example out of descriptors: existing connections go on.
+                // For example, the process is out of descriptors; existing connections continue.
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 continue;
             };
             _ = stream.set_nodelay(true);
-            let (inputs, tls, within) = (
+            let (inputs, tls, time_limit) = (
                 self.inputs.clone(),
                 self.tls.clone(),
                 self.handshake_time_limit,
             );
             spawn_local(async move {
                 let accepted = match tls {
-                    Some(tls) => match timeout(within, tls.accept(stream)).await {
-                        Ok(Some((streams, certified))) => Some((streams, Some(certified))),
+                    Some(tls) => match timeout(time_limit, tls.accept(stream)).await {
+                        Ok(Some((streams, dns_names))) => Some((streams, Some(dns_names))),
                         Ok(None) | Err(_) => None,
                     },
                     None => Some((split(stream), None)),
                 };
                 drop(permit);
-                if let Some((streams, certified)) = accepted {
-                    _ = inputs.send(Input::Accepted { streams, certified }).await;
+                if let Some((streams, dns_names)) = accepted {
+                    _ = inputs.send(Input::Accepted { streams, dns_names }).await;
                 }
             });
         }
@@ -409,7 +413,7 @@
     } else {
         TcpSocket::new_v6()
     }?;
-    // A killed predecessor leaves connections in TIME_WAIT.
+    // Connections of a killed predecessor in TIME_WAIT would otherwise keep the address in use.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(128)
--- a/crates/emberpin-limiter/src/between/peers.rs
+++ b/crates/emberpin-limiter/src/between/peers.rs
@@ -17,24 +17,32 @@
 
 /// The UDP port for datagrams of other limiters. It may be released to another process of this limiter and bound again.
 pub struct Peers {
-    at: SocketAddr,
+    local_address: SocketAddr,
     socket: RefCell<Option<Rc<UdpSocket>>>,
+    /// Whether the port should be bound.
     wanted: watch::Sender<bool>,
+    /// Whether the port is bound.
     open: watch::Sender<bool>,
-    addresses: Vec<SocketAddr>,
-    all: Option<SocketAddr>,
+    /// The address of each limiter, in the order of their [`GatewayId`]s.
+    peer_addresses: Vec<SocketAddr>,
+    /// The address that reaches all peers, if there is one.
+    all_peers: Option<SocketAddr>,
 }
 
 impl Peers {
     /// Opens nothing yet: the port is bound once it is wanted.
-    pub fn start(at: SocketAddr, config: &Config, inputs: mpsc::Sender<Input>) -> Rc<Peers> {
+    pub fn start(
+        local_address: SocketAddr,
+        config: &Config,
+        inputs: mpsc::Sender<Input>,
+    ) -> Rc<Peers> {
         let peers = Rc::new(Peers {
-            at,
+            local_address,
             socket: RefCell::default(),
             wanted: watch::Sender::new(false),
             open: watch::Sender::new(false),
-            addresses: config.peers.clone(),
-            all: config.peers_all,
+            peer_addresses: config.peers.clone(),
+            all_peers: config.peers_all,
         });
         spawn_local(peers.clone().run(inputs));
         peers
@@ -45,17 +53,17 @@
         self.wanted.send_replace(wanted);
     }
 
-    /// Binds the port at once.
+    /// Binds the port immediately.
     ///
     /// # Errors
     ///
     /// One line that names the address, if it cannot be bound.
     pub fn open_now(&self) -> Result<(), String> {
-        let bound = std::net::UdpSocket::bind(self.at).and_then(|socket| {
+        let bound = std::net::UdpSocket::bind(self.local_address).and_then(|socket| {
             socket.set_nonblocking(true)?;
             UdpSocket::from_std(socket)
         });
-        let socket = bound.map_err(|e| format!("cannot listen on {}: {e}", self.at))?;
+        let socket = bound.map_err(|e| format!("cannot listen on {}: {e}", self.local_address))?;
         self.socket.replace(Some(Rc::new(socket)));
         self.open.send_replace(true);
         self.set_wanted(true);
@@ -77,7 +85,7 @@
             // Another process may still hold the port for a moment.
             let mut socket = self.socket.borrow().clone();
             if socket.is_none() {
-                socket = UdpSocket::bind(self.at).await.ok().map(Rc::new);
+                socket = UdpSocket::bind(self.local_address).await.ok().map(Rc::new);
             }
             let Some(socket) = socket else {
                 sleep(RETRY_INTERVAL).await;
@@ -95,15 +103,19 @@
     }
 
     async fn receive(&self, socket: &UdpSocket, inputs: &mpsc::Sender<Input>) {
-        // One byte more than allowed, so that a longer datagram is recognised.
+        // One byte more than the maximum, so that a longer datagram is recognized.
         let mut buffer = [0u8; gossip::MAX_BYTES + 1];
         loop {
             let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
-                // Sending to a peer that is down causes an error here. It is harmless, but must not cause a busy loop.
+                // Receiving fails after a datagram was sent to a peer that is down. This is harmless, but must not
+                // cause a busy loop.
                 sleep(RETRY_INTERVAL).await;
                 continue;
             };
-            let from = self.addresses.iter().position(|address| *address == sender);
+            let from = self
+                .peer_addresses
+                .iter()
+                .position(|address| *address == sender);
             if let (Some(from), true) = (from, length <= gossip::MAX_BYTES) {
                 // Datagrams may be lost: one that finds the driver's queue full is dropped.
                 let bytes = buffer[..length].to_vec();
@@ -115,12 +127,12 @@
         }
     }
 
-    /// Sends a datagram to one peer, or to all if `to` is `None`. A datagram that the socket does not accept at once is
-    /// lost.
+    /// Sends a datagram to one peer, or to all if `to` is `None`. A datagram that the socket does not accept
+    /// immediately is lost.
     pub fn send(&self, to: Option<GatewayId>, bytes: &[u8]) {
         let address = match to {
-            Some(peer) => self.addresses.get(peer.0 as usize).copied(),
-            None => self.all,
+            Some(peer) => self.peer_addresses.get(peer.0 as usize).copied(),
+            None => self.all_peers,
         };
         let socket = self.socket.borrow();
         if let (Some(address), Some(socket), true) =
--- a/crates/emberpin-limiter/src/between/tls.rs
+++ b/crates/emberpin-limiter/src/between/tls.rs
@@ -1,5 +1,5 @@
-//! Mutual TLS between limiters: both sides present a certificate of the operator's own authority that is valid for their
-//! name. TLS 1.3 only; no cryptography of our own (`rustls` with `ring`).
+//! Mutual TLS between limiters: both sides present a certificate of the operator's own authority that is valid for
+//! their name. TLS 1.3 only; no cryptography of our own (`rustls` with `ring`).
 
 use rcgen::{
     BasicConstraints, CertificateParams, DnType, ExtendedKeyUsagePurpose, IsCa, Issuer, KeyPair,
@@ -39,8 +39,9 @@
 }
 
 impl Tls {
-    /// Reads an instance's keys from the folder that `emberpin link init` created. `authority.pem` may hold several
-    /// certificates, old and new, while they are being replaced.
+    /// Reads the certificate and the private key of the instance `name`, and the trusted authorities, from the folder
+    /// that `emberpin link init` created. `authority.pem` may hold both old and new certificates while they are being
+    /// replaced.
     ///
     /// # Errors
     ///
@@ -52,9 +53,9 @@
         );
         let chain = read_certificates(&certificate)?;
         warn_if_expiring(&certificate, &chain);
-        check_only_owner_reads(&key)?;
+        check_owner_only(&key)?;
         let private = PrivateKeyDer::from_pem_file(&key)
-            .map_err(|e| format!("{}: no key: {e}", key.display()))?;
+            .map_err(|e| format!("{}: no private key: {e}", key.display()))?;
         let authority = folder.join(AUTHORITY_FILE);
         let mut roots = RootCertStore::empty();
         for root in read_certificates(&authority)? {
@@ -64,21 +65,21 @@
         }
         let roots = Arc::new(roots);
         let provider = Arc::new(rustls::crypto::ring::default_provider());
-        let unusable = |e: rustls::Error| format!("{}: {e}", certificate.display());
+        let certificate_error = |e: rustls::Error| format!("{}: {e}", certificate.display());
         let client = ClientConfig::builder_with_provider(provider.clone())
             .with_protocol_versions(&[&rustls::version::TLS13])
-            .map_err(unusable)?
+            .map_err(certificate_error)?
             .with_root_certificates(roots.clone())
             .with_client_auth_cert(chain.clone(), private.clone_key())
-            .map_err(unusable)?;
+            .map_err(certificate_error)?;
         let verifier = WebPkiClientVerifier::builder_with_provider(roots, provider.clone()).build();
         let verifier = verifier.map_err(|e| format!("{}: {e}", authority.display()))?;
         let server = ServerConfig::builder_with_provider(provider)
             .with_protocol_versions(&[&rustls::version::TLS13])
-            .map_err(unusable)?
+            .map_err(certificate_error)?
             .with_client_cert_verifier(verifier)
             .with_single_cert(chain, private)
-            .map_err(unusable)?;
+            .map_err(certificate_error)?;
         Ok(Tls {
             client: Arc::new(client).into(),
             server: Arc::new(server).into(),
@@ -144,12 +145,12 @@
     let shown = path.display();
     let read =
         CertificateDer::pem_file_iter(path).map_err(|e| format!("{shown}: no certificate: {e}"))?;
-    let all: Result<Vec<_>, _> = read.collect();
-    match all.map_err(|e| format!("{shown}: no certificate: {e}"))? {
-        none if none.is_empty() => Err(format!(
+    let certificates: Result<Vec<_>, _> = read.collect();
+    match certificates.map_err(|e| format!("{shown}: no certificate: {e}"))? {
+        certificates if certificates.is_empty() => Err(format!(
             "{shown}: no certificate in it; `emberpin link init` creates one"
         )),
-        some => Ok(some),
+        certificates => Ok(certificates),
     }
 }
 
@@ -162,17 +163,17 @@
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     let expiry = u64::try_from(certificate.validity().not_after.timestamp()).unwrap_or(0);
-    let left = Duration::from_secs(expiry).saturating_sub(now);
-    if left < EXPIRY_WARNING {
+    let remaining = Duration::from_secs(expiry).saturating_sub(now);
+    if remaining < EXPIRY_WARNING {
         eprintln!(
             "emberpin: link: {} expires in {} days; replace it",
             path.display(),
-            left.as_secs() / 86_400
+            remaining.as_secs() / 86_400
         );
     }
 }
 
-fn check_only_owner_reads(path: &Path) -> Result<(), String> {
+fn check_owner_only(path: &Path) -> Result<(), String> {
     let shown = path.display();
     let metadata = std::fs::metadata(path).map_err(|e| format!("{shown}: {e}"))?;
     match metadata.permissions().mode() & 0o077 {
@@ -190,18 +191,18 @@
 /// One line that names the file and the remedy.
 pub fn read_secret(folder: &Path) -> Result<[u8; 32], String> {
     let path = folder.join(SECRET_FILE);
-    check_only_owner_reads(&path)?;
+    check_owner_only(&path)?;
     let shown = path.display();
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{shown}: {e}"))?;
     let text = text.trim_end();
     let mut bytes = [0; 32];
-    let digit = |at: usize| {
+    let digit = |position: usize| {
         text.as_bytes()
-            .get(at)
+            .get(position)
             .and_then(|digit| char::from(*digit).to_digit(16))
     };
-    for (at, byte) in bytes.iter_mut().enumerate() {
-        match (digit(2 * at), digit(2 * at + 1), text.len()) {
+    for (index, byte) in bytes.iter_mut().enumerate() {
+        match (digit(2 * index), digit(2 * index + 1), text.len()) {
             (Some(high), Some(low), 64) => *byte = (high << 4 | low) as u8,
             _ => {
                 return Err(format!(
@@ -225,8 +226,8 @@
     std::fs::DirBuilder::new()
         .mode(0o700)
         .create(folder)
-        .map_err(|e| format!("cannot make {shown}: {e}"))?;
-    let certificate_error = |e: rcgen::Error| format!("cannot make a certificate: {e}");
+        .map_err(|e| format!("cannot create {shown}: {e}"))?;
+    let certificate_error = |e: rcgen::Error| format!("cannot create a certificate: {e}");
     let save = |name: String, text: &str, mode: u32| {
         let path = folder.join(name);
         let mut options = std::fs::OpenOptions::new();
--- a/crates/emberpin-limiter/src/stages/key_log.rs
+++ b/crates/emberpin-limiter/src/stages/key_log.rs
@@ -20,7 +20,7 @@
 enum Entry {
     /// The secret with which fingerprints are computed; the last one in the log is valid.
     Secret([u8; 32]),
-    /// Until this time, keyed requests are answered that they may have run.
+    /// Until this time, requests with unknown keys are answered as possibly executed.
     Quiet(Millis),
     /// The state of a key.
     Key(Record<Answer>),
@@ -30,10 +30,10 @@
 pub struct RecoveredState {
     /// The secret with which fingerprints are computed.
     pub secret: [u8; 32],
-    /// The records of keys, each with whether its times come from the same boot and so can be compared with the present
-    /// clock.
+    /// The records of keys, each with whether it was written in this boot, so that its times can be compared with
+    /// [`boot_clock`].
     pub records: Vec<(Record<Answer>, bool)>,
-    /// No request of an unknown key is forwarded before this time, in milliseconds of [`boot_clock`].
+    /// No request with an unknown key is forwarded before this time, in milliseconds of [`boot_clock`].
     pub quiet_until: Millis,
 }
 
@@ -44,8 +44,8 @@
     first_segment: u64,
 }
 
-/// Milliseconds since the machine's boot: continuous over all incarnations within one boot, and independent of the wall
-/// clock (`clock_gettime(2)`, `CLOCK_BOOTTIME`).
+/// Milliseconds since the machine's boot: continuous across process restarts within one boot, and independent of the
+/// wall clock (`clock_gettime(2)`, `CLOCK_BOOTTIME`).
 pub fn boot_clock() -> Millis {
     let now = clock_gettime(ClockId::CLOCK_BOOTTIME)
         .map(|now| (now.tv_sec() as f64, now.tv_nsec() as f64));
@@ -72,12 +72,12 @@
     let (_, folder) = config
         .log
         .as_ref()
-        .ok_or("no operator file has a table [log]; give it by --with")?;
+        .ok_or("no operator file has a table [log]; pass one that has it by --with")?;
     let shown = folder.display();
     let identity = identity(config)?;
     let created = Log::initialize(lock_files(folder)?, &identity);
     created.map_err(|problem| format!("log {shown}: {problem}"))?;
-    Ok(format!("begun the log of '{}' in {shown}", config.name))
+    Ok(format!("created the log of '{}' in {shown}", config.name))
 }
 
 fn identity(config: &Config) -> Result<Identity, String> {
@@ -98,8 +98,8 @@
 }
 
 impl KeyLog {
-    /// Opens the log in `folder`, and reads the state that earlier incarnations left. `retention` is how long requests of
-    /// unknown keys are not forwarded where a part of that state is lost.
+    /// Opens the log in `folder`, and reads the state that earlier incarnations left. If a part of that state is lost,
+    /// requests with unknown keys are not forwarded for `retention`.
     ///
     /// # Errors
     ///
@@ -143,8 +143,9 @@
         } = recovery;
         let now = boot_clock();
         let full_retention_end = now + retention;
-        // A loss that an earlier start recorded with its end applies until then, for one retention period at most. A loss
-        // without such a record is new, and applies for a whole retention period.
+        // After a loss, requests with unknown keys are not forwarded for a retention period. A loss for which an
+        // earlier start has recorded the end of this period applies until then, but no longer than for a whole period
+        // from now. A loss without such a record is new, and applies for a whole period.
         recovered.quiet_until = match (&lost, quiet) {
             (None, None) if unknown == 0 => 0.0,
             (Some(emberpin_wal::DataLoss::EarlierLoss) | None, Some(until)) if unknown == 0 => {
@@ -162,13 +163,13 @@
         if let Some(lost) = lost {
             eprintln!("emberpin: log {shown}: LOST: {lost}");
         }
-        // Written before any key's record: the next start must compute the same fingerprints, and keep rejecting unknown
-        // keys for the rest of the time.
+        // Written before any key's record: the next start must compute the same fingerprints, and must not forward
+        // requests with unknown keys for the rest of the period.
         let mut first = vec![Entry::Secret(recovered.secret)];
         if recovered.quiet_until > now {
             let seconds = (recovered.quiet_until - now) / 1000.0;
             eprintln!(
-                "emberpin: log {shown}: for {seconds:.1} s, keyed requests are answered that they may have run"
+                "emberpin: log {shown}: for {seconds:.1} s, requests with unknown keys are answered as possibly executed"
             );
             first.push(Entry::Quiet(recovered.quiet_until));
         }
@@ -176,9 +177,9 @@
         log.write(&first, true)
             .map_err(|problem| format!("log {shown}: {problem}"))?;
         let first_segment = log.segment();
-        // Sending fails only once the stage, which has the receiver, is dropped.
+        // Sending fails only once the stage, which owns the receiver, is dropped.
         let service = Service::start(log, move |event| _ = log_events.send(event));
-        let service = service.map_err(|e| format!("log {shown}: no thread: {e}"))?;
+        let service = service.map_err(|e| format!("log {shown}: cannot start its thread: {e}"))?;
         Ok((
             KeyLog {
                 service,
@@ -194,8 +195,8 @@
         self.first_segment
     }
 
-    /// Appends a key's record. Returns false if the log does not accept it now. `ticket` identifies the record in the log's
-    /// events.
+    /// Appends a key's record. Returns false if the log does not accept it now. `ticket` identifies the record in the
+    /// log's events.
     pub fn append_key(&self, record: Record<Answer>, ticket: Option<Ticket>) -> bool {
         self.append(&Entry::Key(record), ticket)
     }
@@ -205,7 +206,7 @@
         self.append(&Entry::Secret(bytes), ticket)
     }
 
-    /// Appends the time until which no request of an unknown key is forwarded.
+    /// Appends the time until which no request with an unknown key is forwarded.
     pub fn append_quiet(&self, until: Millis) -> bool {
         self.append(&Entry::Quiet(until), None)
     }
@@ -214,9 +215,10 @@
         encode(entry).is_some_and(|bytes| self.service.append(bytes, ticket).is_ok())
     }
 
-    /// Whether the log has grown enough to be compacted. `size_after_sweep` is its size after the last compaction, in bytes.
-    pub fn wants_rotation(&self, size_after_sweep: u64) -> bool {
-        self.service.bytes() > 2 * size_after_sweep + self.spare_bytes
+    /// Whether the log has grown enough to be compacted, which begins with a new segment. `compacted_size` is its size
+    /// after the last compaction, in bytes.
+    pub fn wants_rotation(&self, compacted_size: u64) -> bool {
+        self.service.bytes() > 2 * compacted_size + self.spare_bytes
     }
 
     /// The size of the log on disk, in bytes.
@@ -224,8 +226,8 @@
         self.service.bytes()
     }
 
-    /// Requests a new segment, which [`LogEvent::Rotated`] reports. Returns false if the log does not accept the request
-    /// now.
+    /// Requests a new segment, which [`LogEvent::Rotated`] reports. Returns false if the log does not accept the
+    /// request now.
     pub fn rotate(&self) -> bool {
         self.service.rotate().is_ok()
     }
--- a/crates/emberpin-limiter/src/stages/takeover.rs
+++ b/crates/emberpin-limiter/src/stages/takeover.rs
@@ -2,7 +2,7 @@
 //! reports its completion to them, and continues the requests of a limiter that has failed. Which limiter may continue
 //! a request is decided in `emberpin_failover`.
 
-use crate::between::link::{Link, LinkEvent, WORK_MESSAGES};
+use crate::between::link::{Link, LinkEvent, TAKEOVER_MESSAGES};
 use crate::messages::{Answer, Gate, RequestBody, UpstreamRequest};
 use crate::operate::config::Config;
 use crate::operate::crash_points;
@@ -257,7 +257,7 @@
         });
         spawn_local(receive_link_events(
             Rc::downgrade(&host),
-            link.subscribe(WORK_MESSAGES),
+            link.subscribe(TAKEOVER_MESSAGES),
         ));
         host
     }
@@ -412,7 +412,7 @@
             match action {
                 Action::Send { to, message } => {
                     if let Ok(body) = postcard::to_allocvec(&message) {
-                        self.link.send(to.0, WORK_MESSAGES, body);
+                        self.link.send(to.0, TAKEOVER_MESSAGES, body);
                     }
                 }
                 Action::AllowAttempt { work_id, attempt } => self.resolve(work_id, attempt, true),
--- a/crates/emberpin-limiter/src/upstream/driver.rs
+++ b/crates/emberpin-limiter/src/upstream/driver.rs
@@ -1,7 +1,7 @@
 //! The driver, the only owner of the engine: receives inputs, endpoint lists, operators' commands and the messages of a
 //! sibling process, and passes them to the decision module. No decision is taken here.
 
-use crate::between::handover::{HandoverState, Sibling, Update};
+use crate::between::handover::{HandoverState, SiblingEvent, Update};
 use crate::between::peers::Peers;
 use crate::messages::Input;
 use crate::operate::clock::Clock;
@@ -64,7 +64,7 @@
     /// Commands of operators.
     pub commands: mpsc::Receiver<ServerCommand>,
     /// Events about a sibling process, during an upgrade.
-    pub pairings: mpsc::Receiver<Sibling>,
+    pub pairings: mpsc::Receiver<SiblingEvent>,
 }
 
 impl Driver {
@@ -200,9 +200,9 @@
     }
 
     /// A sibling process of this limiter connected, disconnected or sent a message.
-    fn on_sibling_event(&mut self, event: Sibling) {
+    fn on_sibling_event(&mut self, event: SiblingEvent) {
         match event {
-            Sibling::StateRequested(reply_to, other) => {
+            SiblingEvent::StateRequested(reply_to, other) => {
                 self.other = Some(other);
                 self.handle_event(Event::SiblingChanged { running: true });
                 let (targets, names) = self.roster.entries_and_names();
@@ -212,19 +212,21 @@
                     clock, self.rev, &targets, names, gateway,
                 ));
             }
-            Sibling::Connected(other) => {
+            SiblingEvent::Connected(other) => {
                 self.other = Some(other);
                 self.handle_event(Event::SiblingChanged { running: true });
             }
-            Sibling::Update(Update::Usage(usage)) => self.handle_event(Event::SiblingUsage(usage)),
-            Sibling::Update(Update::Maintenance { server: name, out }) => {
+            SiblingEvent::Update(Update::Usage(usage)) => {
+                self.handle_event(Event::SiblingUsage(usage))
+            }
+            SiblingEvent::Update(Update::Maintenance { server: name, out }) => {
                 let server = server_id(&name);
                 self.roster.remember_name(server, &name);
                 self.set_maintenance(server, &name, out);
             }
             // Handled by `Upgrade`.
-            Sibling::Update(Update::SocketCounts(_)) => {}
-            Sibling::Disconnected => {
+            SiblingEvent::Update(Update::SocketCounts(_)) => {}
+            SiblingEvent::Disconnected => {
                 self.other = None;
                 self.handle_event(Event::SiblingChanged { running: false });
             }
--- a/crates/emberpin-limiter/src/upstream/engine/mod.rs
+++ b/crates/emberpin-limiter/src/upstream/engine/mod.rs
@@ -1,5 +1,5 @@
-//! Hosts one decision module: passes events to it and carries out its actions on requests and attempts. Keeps its timers
-//! and the table of requests. No decision is taken here.
+//! Runs one decision module ([`Gateway`]): passes events to it and carries out its actions on requests and attempts.
+//! Keeps the module's timers and the table of requests in flight, and takes no decisions of its own.
 
 mod request_table;
 mod timers;
@@ -27,7 +27,7 @@
 pub enum OverdueAttempts {
     /// It ends with [`Outcome::Timeout`].
     End,
-    /// It continues, and the owner is informed by [`Input::Overdue`]. It ends when the request expires, or by
+    /// It continues, and the engine's owner receives [`Input::Overdue`]. It ends when the request expires, or by
     /// [`Engine::time_out`].
     Report,
 }
@@ -49,26 +49,27 @@
     pub clock: Clock,
     /// The servers that new attempts may go to.
     pub upstreams: BTreeMap<ServerId, Rc<Upstream>>,
-    /// Actions of the module that concern no request: the owner carries them out after each event.
+    /// Actions that the engine does not carry out itself: its owner does so after each event.
     pub other_actions: Vec<Action>,
-    /// Attempts that were sent since the owner last emptied this.
+    /// Attempts that were sent since the owner last cleared this list.
     pub sent_attempts: Vec<SentAttempt>,
-    /// What happens to an attempt whose time is over.
+    /// What happens to an attempt that exceeds the time that the decision module gave it.
     pub overdue_attempts: OverdueAttempts,
-    /// Where several engines are to wake together, the grid on which their timers fire.
+    /// The grid to which timers are rounded up, so that several engines wake together; `None` for no rounding.
     pub timer_grid: Option<TimerGrid>,
-    /// A request that may have run is failed where the module rejects it: a rejection then promises that nothing has
-    /// run.
+    /// If set, a rejection guarantees that the request has not run: where the module rejects a request that may have
+    /// run, the client receives [`Answer::Failed`] instead.
     pub reject_only_unexecuted: bool,
     requests: BTreeMap<RequestId, InFlightRequest>,
     timers: Timers,
-    /// Events that arose while an action was carried out.
+    /// Events not yet passed to the module, among them those that actions have caused.
     queued_events: VecDeque<Event>,
     inputs: mpsc::Sender<Input>,
 }
 
 impl Engine {
-    /// Sends the ends of attempts to `inputs`; their receiver passes them to [`Engine::on_attempt_ended`].
+    /// Creates an engine that sends the ends of attempts to `inputs`, whose receiver passes them to
+    /// [`Engine::on_attempt_ended`].
     pub fn new(gateway: Gateway, clock: Clock, inputs: mpsc::Sender<Input>) -> Engine {
         Engine {
             gateway,
@@ -91,7 +92,7 @@
         self.timers.next_due()
     }
 
-    /// Passes the timers that are due to the module.
+    /// Passes each due timer to the module as an event.
     pub fn fire_timers(&mut self) {
         let now = Instant::now();
         while let Some(token) = self.timers.pop_due(now) {
@@ -128,20 +129,20 @@
         self.handle_event(event);
     }
 
-    /// The client of a request disconnected. The module decides whether a running attempt is
-    /// cancelled.
+    /// The client of a request disconnected. The module decides whether a running attempt is cancelled.
     pub fn on_client_gone(&mut self, request: RequestId) {
         let Some(in_flight) = self.requests.get_mut(&request) else {
             return;
         };
         if in_flight.reply_to.take().is_some() {
             self.handle_event(Event::Abandoned { request });
-            self.forget_if_finished(request);
+            self.remove_if_finished(request);
         }
     }
 
-    /// Takes back a request that cannot have run, so that it can be routed again. Returns the sender of its reply, or
-    /// `None` if it may have run or is answered. The module learns of the request's end when the running attempt ends.
+    /// Takes back a request, so that it can be routed again. Returns the sender of its reply, or `None` if an attempt
+    /// that has ended may have run it, or it is answered. The caller must know that the running attempt has not run it;
+    /// the module learns of the request's end when that attempt ends.
     pub fn withdraw(&mut self, request: RequestId) -> Option<oneshot::Sender<Reply>> {
         self.requests
             .get_mut(&request)
@@ -183,13 +184,13 @@
             metered: ended.metered,
         });
         self.handle_event(event);
-        self.forget_if_finished(request);
+        self.remove_if_finished(request);
     }
 
     /// Whether [`Engine::time_out`] can end this attempt.
     pub fn can_time_out(&self, request: RequestId, attempt: u32) -> bool {
         self.requests.get(&request).is_some_and(|in_flight| {
-            in_flight.has_latest_attempt(attempt)
+            in_flight.is_latest_attempt(attempt)
                 && in_flight.outgoing.is_replayable()
                 && in_flight
                     .running
@@ -198,13 +199,13 @@
         })
     }
 
-    /// Ends an attempt with [`Outcome::Timeout`]; its end arrives as any other's. Does nothing to an attempt whose
-    /// request body has been streamed, as no other attempt could follow.
+    /// Ends an attempt with [`Outcome::Timeout`], which is reported like any other end of an attempt. Does nothing to
+    /// an attempt whose request body has been streamed, as no other attempt could follow.
     pub fn time_out(&mut self, request: RequestId, attempt: u32) {
         let cancel = self
             .requests
             .get_mut(&request)
-            .filter(|in_flight| in_flight.has_latest_attempt(attempt))
+            .filter(|in_flight| in_flight.is_latest_attempt(attempt))
             .filter(|in_flight| in_flight.outgoing.is_replayable())
             .and_then(|in_flight| in_flight.running.as_mut())
             .and_then(|running| running.cancel.take());
@@ -213,7 +214,7 @@
         }
     }
 
-    fn forget_if_finished(&mut self, request: RequestId) {
+    fn remove_if_finished(&mut self, request: RequestId) {
         if self
             .requests
             .get(&request)
@@ -223,7 +224,8 @@
         }
     }
 
-    /// Passes an event to the module, and carries out its actions, also on the events that arise from them.
+    /// Passes an event to the module and carries out the resulting actions; does the same with the events that these
+    /// actions cause.
     pub fn handle_event(&mut self, event: Event) {
         self.queued_events.push_back(event);
         let mut actions = Vec::new();
@@ -259,7 +261,7 @@
                 let due = self.timer_grid.map_or(due, |grid| grid.round_up(due));
                 self.timers.push(due, token);
             }
-            // No deployment has the counter service.
+            // No deployment has the counter service, so the reply carries no total.
             Action::AddToCounter { counter: name, .. } => {
                 self.queued_events.push_back(Event::CounterReply {
                     counter: name,
@@ -276,7 +278,7 @@
         let running = self
             .requests
             .get_mut(&request)
-            .filter(|in_flight| in_flight.has_latest_attempt(attempt))
+            .filter(|in_flight| in_flight.is_latest_attempt(attempt))
             .and_then(|in_flight| in_flight.running.as_mut());
         if let Some(running) = running {
             running.cancel = None;
@@ -304,7 +306,7 @@
             .upstreams
             .get(&server)
             .filter(|upstream| upstream.is_open());
-        // Whatever the module asks for, nothing is sent for a request that is answered or has an attempt running, nor to
+        // Whatever the module requests, nothing is sent for a request that is answered or has a running attempt, nor to
         // a server that drains.
         let (Some(upstream), true, None) =
             (upstream, in_flight.reply_to.is_some(), &in_flight.running)
@@ -327,7 +329,7 @@
             OverdueAttempts::Report => {
                 let request_time = match &outgoing.body {
                     RequestBody::Buffered(_) => request_time,
-                    // The time begins with the last byte of the upload, and is no longer than for other requests.
+                    // Counts from the last byte of the upload, and is as long as for other requests.
                     RequestBody::Uploading(_) => in_flight.time_limit,
                 };
                 if timeout < request_time {
@@ -340,7 +342,7 @@
             let gate_asked_at = Instant::now();
             let permitted = match &outgoing.gate {
                 None => true,
-                // The server may have begun to drain while the gate was asked.
+                // The server may have begun to drain while the gate decided.
                 Some(gate) => gate.allows(attempt, location, timeout).await && upstream.is_open(),
             };
             let left = timeout.saturating_sub(gate_asked_at.elapsed());
@@ -363,7 +365,7 @@
         let Some(in_flight) = self.requests.get_mut(&request) else {
             return;
         };
-        // No attempt of a request continues once the request is answered.
+        // Answering a request cancels its running attempt.
         if let Some(running) = &mut in_flight.running {
             running.cancel = None;
         }
@@ -374,7 +376,7 @@
             answer => answer,
         };
         in_flight.reply_with_error_response_or(answer);
-        self.forget_if_finished(request);
+        self.remove_if_finished(request);
     }
 }
 
@@ -399,7 +401,7 @@
     }
 }
 
-/// Informs the owner when the module's time for an attempt is over, whether or not the attempt still runs.
+/// Sends [`Input::Overdue`] once `timeout` has passed, whether or not the attempt still runs.
 fn report_overdue(
     request: RequestId,
     attempt: u32,
@@ -416,7 +418,7 @@
     expires.saturating_duration_since(Instant::now())
 }
 
-/// Zero for a negative time.
+/// Converts milliseconds to a duration; zero if they are negative or out of range.
 fn duration_from(millis: Millis) -> Duration {
     Duration::try_from_secs_f64(millis / 1000.0).unwrap_or_default()
 }
--- a/crates/emberpin-limiter/src/upstream/engine/request_table.rs
+++ b/crates/emberpin-limiter/src/upstream/engine/request_table.rs
@@ -11,19 +11,20 @@
 pub(super) struct InFlightRequest {
     pub(super) outgoing: Rc<UpstreamRequest>,
     pub(super) expires: Instant,
-    /// How long the request may take once its body has ended.
+    /// How long the request may take, counted from the last byte of its body.
     pub(super) time_limit: Duration,
-    /// Receives the reply; `None` once the reply was sent or the client has disconnected.
+    /// Receives the reply; `None` once the reply was sent, the client has disconnected or the request was withdrawn.
     pub(super) reply_to: Option<oneshot::Sender<Reply>>,
     /// Number of attempts so far, including those that were not sent.
     pub(super) attempts: u32,
     pub(super) running: Option<RunningAttempt>,
+    /// Whether an earlier attempt, here or at another limiter, may have run the request.
     pub(super) may_have_run: bool,
-    /// A server's latest response that is not good, for the client if no attempt brings a better one.
+    /// The latest error response that may be forwarded; the client receives it if no attempt succeeds.
     pub(super) error_response: Option<Reply>,
 }
 
-/// An attempt whose end has not arrived.
+/// An attempt whose end has not been reported.
 pub(super) struct RunningAttempt {
     /// Cancels the attempt when dropped, or ends it with the outcome that is sent; `None` once either was done.
     pub(super) cancel: Option<oneshot::Sender<Outcome>>,
@@ -44,7 +45,7 @@
     }
 
     /// Whether `attempt` is the number of the latest attempt.
-    pub(super) fn has_latest_attempt(&self, attempt: u32) -> bool {
+    pub(super) fn is_latest_attempt(&self, attempt: u32) -> bool {
         self.attempts == attempt + 1
     }
 
@@ -53,14 +54,14 @@
         self.reply_to.is_none() && self.running.is_none()
     }
 
-    /// Sends the reply, unless there was one before.
+    /// Sends the reply, unless one was sent before.
     pub(super) fn reply(&mut self, reply: Reply) {
         if let Some(reply_to) = self.reply_to.take() {
             _ = reply_to.send(reply);
         }
     }
 
-    /// Sends a server's response that is not good, if there is one, in place of an answer of the limiter's own.
+    /// Replies with the server's error response if there is one, else with `answer`.
     pub(super) fn reply_with_error_response_or(&mut self, answer: Answer) {
         if let Some(reply_to) = self.reply_to.take() {
             let reply = self.error_response.take();
--- a/crates/emberpin-limiter/src/upstream/engine/timers.rs
+++ b/crates/emberpin-limiter/src/upstream/engine/timers.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Timers by their time, and by their token among those of one time.
+/// Timers in the order in which they fire: by time, and by token where times are equal.
 #[derive(Default)]
 pub(super) struct Timers {
     heap: BinaryHeap<Reverse<(Instant, u64)>>,
--- a/crates/emberpin-limiter/src/upstream/server/connection.rs
+++ b/crates/emberpin-limiter/src/upstream/server/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection to a server, driven by whoever uses it.
+//! One HTTP/1.1 connection to a server, polled by its user instead of a task of its own.
 
 use super::request_body::SentBody;
 use super::write_progress::{ObservedStream, WriteProgress};
@@ -19,23 +19,23 @@
 
 /// Maximum size of a response's head.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// TCP keepalive interval where the time without acknowledgement is bounded; the shortest that the operating system
-/// accepts.
+/// Interval of TCP keepalive probes on connections with a limit on unacknowledged time; the shortest that the operating
+/// system accepts.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_RETRIES: u32 = 2;
 
-/// Why no connection came up.
+/// Why a connection could not be opened.
 pub(super) enum ConnectError {
-    /// All sockets that the process may open are in use; nothing is known of the server.
+    /// All sockets that the process may open are in use; this says nothing about the server.
     NoSocket,
-    /// The server did not accept, or refused.
+    /// The TCP connection or the HTTP library's handshake on it failed.
     Failed,
 }
 
-/// A connection that is polled only by whoever uses it: dropping it closes it.
+/// A connection that only its user polls, with no task of its own: dropping it closes it.
 pub(super) struct ServerConnection {
     pub(super) sender: SendRequest<SentBody>,
-    /// Boxed, as it is large and moves with every attempt.
+    /// Boxed, as it is large and is moved for every attempt.
     http: Box<http1::Connection<TokioIo<ObservedStream>, SentBody>>,
     closed: bool,
     stream: Rc<RefCell<TcpStream>>,
@@ -44,16 +44,17 @@
     pub(super) stated_lifetime: Option<Duration>,
     /// How long the connection was idle before this use.
     pub(super) idle_time: Duration,
+    /// Returned to the pool's limit on sockets when dropped.
     _socket: OwnedSemaphorePermit,
 }
 
 impl ServerConnection {
-    /// Opens a connection. `unacknowledged` bounds the time without acknowledgement; `socket` is the connection's permit
-    /// under the process's limit on descriptors.
+    /// Opens a connection. `unacknowledged` is how long the server's machine may acknowledge nothing; `socket` is the
+    /// connection's permit under the process's limit on descriptors.
     ///
     /// # Errors
     ///
-    /// [`ConnectError::Failed`] if no TCP connection comes up, or the HTTP library cannot start on it.
+    /// [`ConnectError::Failed`] if the TCP connection or the HTTP library's handshake on it fails.
     pub(super) async fn open(
         address: SocketAddr,
         unacknowledged: Option<Duration>,
@@ -64,7 +65,7 @@
             .map_err(|_| ConnectError::Failed)?;
         _ = stream.set_nodelay(true);
         if let Some(limit) = unacknowledged {
-            bound_unacknowledged_time(&stream, limit);
+            limit_unacknowledged_time(&stream, limit);
         }
         let stream = Rc::new(RefCell::new(stream));
         let progress = Rc::new(WriteProgress::default());
@@ -94,26 +95,26 @@
         !self.closed && !self.sender.is_closed()
     }
 
-    /// Whether an idle connection can carry a request now. A request that is written to a connection that the server has
-    /// closed would count as one that may have run, and unread bytes would be taken for its response.
+    /// Whether an idle connection can carry a request now. A request that is written to a connection that the server
+    /// has closed would count as one that may have run, and unread bytes would be taken for its response.
     pub(super) async fn is_usable(&mut self) -> bool {
         self.drive(std::future::ready(())).await;
-        !self.closed && self.sender.is_ready() && self.is_quiet()
+        !self.closed && self.sender.is_ready() && self.has_nothing_to_read()
     }
 
-    /// Whether the server has neither closed the connection nor sent anything on it. Asks the operating system itself, as the runtime
-    /// does not know yet what has just arrived.
-    pub(super) fn is_quiet(&self) -> bool {
+    /// Whether the server has neither closed the connection nor sent anything unread. Asks the operating system, as the
+    /// runtime has not yet noticed what has just arrived.
+    pub(super) fn has_nothing_to_read(&self) -> bool {
         let peeked = SockRef::from(&*self.stream.borrow()).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Lets the HTTP library read and write.
+    /// Polls the HTTP library, which reads from and writes to the socket.
     pub(super) fn poll(&mut self, context: &mut Context) {
         self.closed = self.closed || Pin::new(&mut *self.http).poll(context).is_ready();
     }
 
-    /// Polls the connection along with a future that waits for it.
+    /// Awaits a future that depends on this connection, and polls the connection along with it.
     pub(super) async fn drive<F: Future>(&mut self, future: F) -> F::Output {
         let mut future = pin!(future);
         poll_fn(|context| {
@@ -124,9 +125,9 @@
     }
 }
 
-/// Bounds how long the server's machine may acknowledge nothing. Without this bound, a machine without power or behind a network
-/// partition, which sends not even a reset, would hold the connection until the attempt's timeout.
-fn bound_unacknowledged_time(stream: &TcpStream, limit: Duration) {
+/// Limits how long the server's machine may acknowledge nothing. Without this limit, a machine that has lost power or
+/// is behind a network partition, and so sends no reset, would hold the connection until the attempt's timeout.
+fn limit_unacknowledged_time(stream: &TcpStream, limit: Duration) {
     let socket = SockRef::from(stream);
     _ = socket.set_tcp_user_timeout(Some(limit));
     let keepalive = TcpKeepalive::new()
--- a/crates/emberpin-limiter/src/upstream/server/exchange.rs
+++ b/crates/emberpin-limiter/src/upstream/server/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange of a request and its response with one server, and what its end says about the request.
+//! Exchanges one request and its response with a server, and determines whether the request may have run.
 
 use super::connection::{ConnectError, ServerConnection};
 use super::request_body::SentBody;
@@ -21,12 +21,12 @@
 pub(super) struct Exchange {
     pub(super) outcome: Outcome,
     pub(super) response: Option<ExchangedResponse>,
-    /// The server's machine did not acknowledge anything, or no connection came up.
+    /// The server's machine acknowledged nothing within the limit, or no connection came up.
     pub(super) unreachable: bool,
     /// At least one byte of the request was written.
     pub(super) sent: bool,
-    /// How much later than the start the last byte of a streamed request body came. The server's own time, and the
-    /// timeout, count from there.
+    /// Time from the start to the last byte of a streamed request body; zero for a buffered body. The attempt's timeout
+    /// and its elapsed time count from that byte.
     pub(super) upload_time: Duration,
 }
 
@@ -57,8 +57,8 @@
     /// counted and whose response is buffered.
     ///
     /// Decides between "never ran" and "may have run": an attempt never ran if no connection came up, or if the
-    /// connection broke before the last byte was written. Where servers may run a part of a request, the connection must
-    /// have broken before the first byte.
+    /// connection broke before the last byte was written. Where servers may run an incomplete request, it never ran
+    /// only if the connection broke before the first byte was written.
     pub(super) async fn exchange(
         self: &Rc<Self>,
         mut request: Request<RequestBody>,
@@ -70,8 +70,8 @@
             Ok(connection) => connection,
             Err(exchange) => return exchange,
         };
-        // The server may have begun to drain, or the request may have been withdrawn, while the connection came up. From
-        // here to the first byte there is no await, so neither can happen any more.
+        // The server may have begun to drain, or the request may have been withdrawn, while the connection came up.
+        // From here to the first byte there is no await, so neither can happen any more.
         if !self.is_open() || outgoing.is_some_and(|outgoing| outgoing.withdrawn.get()) {
             return Exchange::unsent(Outcome::NotSent);
         }
@@ -99,7 +99,7 @@
             outgoing.map(|_| self.pool.metrics.attempts.clone()),
             request.body().is_end_stream(),
         );
-        // The time for a body that is still uploaded begins with its last byte.
+        // For a body that is still being uploaded, the timeout counts from its last byte.
         let timed_out = async {
             match &upload {
                 None => sleep_until(deadline).await,
@@ -118,7 +118,7 @@
         let sent = progress.is_started();
         self.record_end(&received, idle_time);
         let unreachable = matches!(received, Some(Err(ExchangeError::Unacknowledged)));
-        let (outcome, response) = self.judge(received, &*wire, rules, &progress);
+        let (outcome, response) = self.classify(received, &*wire, rules, &progress);
         Exchange {
             outcome,
             response,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Returns a connection within the attempt's time, or else the end of an exchange without one.
+    /// Returns a connection, or the end of the exchange if none comes up within the attempt's time.
     async fn connect_for(
         &self,
         outgoing: Option<&UpstreamRequest>,
@@ -150,7 +150,8 @@
         }
     }
 
-    /// Records what the end of an exchange says about this server's other connections.
+    /// Records what the end of an exchange says about other connections: how long idle ones last, and whether the
+    /// server's machine still acknowledges anything.
     fn record_end(&self, received: &Received, idle_time: Duration) {
         match received {
             Some(Ok(_)) => self.pool.record_use(idle_time, false),
@@ -161,8 +162,8 @@
         }
     }
 
-    /// The outcome of an exchange, with its response if there is one.
-    fn judge(
+    /// Determines the outcome of an exchange. Returns the response too, if there is one.
+    fn classify(
         self: &Rc<Self>,
         received: Received,
         wire: &dyn Wire,
@@ -188,8 +189,8 @@
         }
     }
 
-    /// Returns the connection of a complete response to the pool. A response that came before its request was sent
-    /// completely counts, but its connection can carry no other.
+    /// Returns the connection of a complete response to the pool. A response that arrived before all of the request was
+    /// written is valid, but its connection cannot be reused.
     fn finish(
         self: &Rc<Self>,
         response: Response<()>,
@@ -210,7 +211,7 @@
     }
 }
 
-/// How much later than `started` the last byte of an upload came; up to now, if it has not come.
+/// The time from `started` to the last byte of an upload, or to now if that has not arrived.
 async fn upload_time(upload: &Upload, started: Instant) -> Duration {
     match tokio::time::timeout(Duration::ZERO, upload.ended()).await {
         Ok(ended) => ended.saturating_duration_since(started),
--- a/crates/emberpin-limiter/src/upstream/server/mod.rs
+++ b/crates/emberpin-limiter/src/upstream/server/mod.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks that go to servers, over one bounded pool of HTTP/1.1 connections.
+//! Sends attempts and health checks to servers, over one bounded pool of HTTP/1.1 connections.
 //!
 //! An [`Upstream`] is one incarnation of one server. Its `exchange` sends one request on a `ServerConnection` from the
 //! [`Pool`] and receives the response, complete or as a stream. `WriteProgress` records how much of the request reached
--- a/crates/emberpin-limiter/src/upstream/server/pool.rs
+++ b/crates/emberpin-limiter/src/upstream/server/pool.rs
@@ -15,9 +15,9 @@
 
 /// How often idle connections are checked for expiry.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the sockets in use are counted while they are reported to a sibling process of this limiter.
+/// How often the sockets in use are counted while this limiter has a sibling process, to which the count is reported.
 const SIBLING_SYNC_INTERVAL: Duration = Duration::from_millis(20);
-/// Number of sockets that this process may use, however many a sibling process has open.
+/// Minimum number of sockets that this process may use, however many a sibling process has open.
 const MIN_SOCKETS: usize = 16;
 
 /// The state shared by the connections to all servers: limits on time and on sockets, and the idle connections.
@@ -27,9 +27,9 @@
     pub(super) metrics: Arc<LimiterMetrics>,
     sockets: Arc<Semaphore>,
     socket_budget: Rc<SocketBudget>,
-    /// The longest idle first.
+    /// Those that have been idle for longest come first.
     idle: RefCell<Vec<IdleConnection>>,
-    /// How long idle connections really last, estimated from their use, whatever the settings say.
+    /// Estimates from use how long idle connections really last, which may be shorter than the settings say.
     lifetimes: RefCell<Lifetimes>,
     next_key: Cell<u64>,
 }
@@ -45,8 +45,8 @@
     pub max_idle_per_server: usize,
     /// Maximum number of connections to all servers.
     pub sockets: usize,
-    /// A connection ends when the server's machine has acknowledged nothing for this long; `None` leaves that to the
-    /// operating system.
+    /// A connection is closed once the server's machine has acknowledged nothing for this long; `None` for the
+    /// operating system's own limit.
     pub unacknowledged: Option<Duration>,
     /// Maximum number of bytes of a response that are buffered. A response that breaks off within them may be retried.
     pub buffered_response_bytes: usize,
@@ -87,14 +87,14 @@
         UpstreamKey(self.next_key.replace(self.next_key.get() + 1))
     }
 
-    /// Reserves as many sockets as a sibling process of this limiter has open, for as long as this process runs. Closes idle
-    /// connections first, if there are not enough free sockets.
+    /// Keeps as many sockets reserved as the sibling process of this limiter has open during an upgrade. Runs for as
+    /// long as this process. Closes idle connections if there are not enough free sockets.
     pub async fn track_sibling(self: Rc<Self>) {
         let mut changes = self.socket_budget.changes();
         let mut reserved: Option<OwnedSemaphorePermit> = None;
         loop {
             self.reserve_for_sibling(&mut reserved);
-            let reserved_count = permits(&reserved);
+            let reserved_count = permit_count(&reserved);
             self.socket_budget.set_servers(
                 self.limits.sockets - reserved_count - self.sockets.available_permits(),
             );
@@ -114,7 +114,7 @@
             .socket_budget
             .sibling_servers()
             .min(self.limits.sockets.saturating_sub(MIN_SOCKETS));
-        let has = permits(reserved);
+        let has = permit_count(reserved);
         if wanted < has {
             // Dropping the split permits returns them to the semaphore.
             drop(
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Closes idle connections that have expired or can carry no request any more, for as long as the process runs.
+    /// Closes idle connections that have expired or can carry no further request. Runs for as long as the process.
     pub async fn expire_idle(self: Rc<Self>) {
         let mut ticks = interval(IDLE_CHECK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -145,7 +145,7 @@
             ticks.tick().await;
             self.idle
                 .borrow_mut()
-                .retain(|idle| self.is_fresh(idle) && idle.connection.is_quiet());
+                .retain(|idle| self.is_fresh(idle) && idle.connection.has_nothing_to_read());
         }
     }
 
@@ -161,17 +161,17 @@
     /// Records whether a request on a connection that had been idle for `idle_time` was lost with the connection or
     /// answered.
     pub(super) fn record_use(&self, idle_time: Duration, lost: bool) {
-        let closed = self
+        let excluded_ages = self
             .lifetimes
             .borrow_mut()
             .record(Instant::now(), idle_time, lost);
-        if let Some((age, pause)) = closed {
+        if let Some((age, pause)) = excluded_ages {
             let (age, pause) = (age.as_millis(), pause.as_secs());
             eprintln!("connections to servers are lost after {age} ms of idle time or more: such connections are not reused for {pause} s");
         }
     }
 
-    /// A connection to this upstream: an idle one that is usable, else a new one.
+    /// Returns a connection to this upstream: an idle one that is usable, else a new one.
     ///
     /// # Errors
     ///
@@ -191,7 +191,7 @@
         ServerConnection::open(address, self.limits.unacknowledged, socket).await
     }
 
-    /// The most recently used connection, unless it has expired or been idle for `max_idle_time`.
+    /// Takes the most recently used connection, unless it has expired or been idle for `max_idle_time`.
     fn take_idle(
         &self,
         key: UpstreamKey,
@@ -223,8 +223,8 @@
         self.idle.borrow_mut().retain(|idle| idle.key != key);
     }
 
-    /// Keeps the process within its limit on descriptors: when all sockets are in use, the connection that has been idle
-    /// for longest, to whichever server, is closed for the new one.
+    /// Acquires a socket within the process's limit on descriptors. When all are in use, closes the connection that has
+    /// been idle for longest, whichever server it goes to.
     fn acquire_socket(&self) -> Option<OwnedSemaphorePermit> {
         if self.sockets.available_permits() == 0 && !self.idle.borrow().is_empty() {
             self.idle.borrow_mut().remove(0);
@@ -233,8 +233,8 @@
     }
 }
 
-fn permits(reserved: &Option<OwnedSemaphorePermit>) -> usize {
-    reserved
+fn permit_count(permits: &Option<OwnedSemaphorePermit>) -> usize {
+    permits
         .as_ref()
         .map_or(0, OwnedSemaphorePermit::num_permits)
 }
--- a/crates/emberpin-limiter/src/upstream/server/request_body.rs
+++ b/crates/emberpin-limiter/src/upstream/server/request_body.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// A request's body as the HTTP library reads it for one attempt.
+/// A request's body, read by the HTTP library for one attempt.
 pub(super) struct SentBody {
     /// The buffered bytes; `None` after the first poll.
     buffered: Option<Bytes>,
@@ -18,10 +18,11 @@
     progress: Rc<WriteProgress>,
 }
 
-/// The part of an upload that this attempt has not handed over yet.
+/// The part of an upload that the HTTP library has not received yet.
 struct RemainingUpload {
     upload: Rc<Upload>,
-    /// Number of bytes that are not handed over yet, including the buffered ones; `None` where the client stated no length.
+    /// Number of bytes that the HTTP library has not received yet, including the buffered ones; `None` if the client
+    /// stated no length.
     length: Option<u64>,
 }
 
@@ -65,7 +66,7 @@
         if let (Poll::Ready(Some(Ok(chunk))), Some(length)) = (&next, length.as_mut()) {
             *length = length.saturating_sub(chunk.len() as u64);
         }
-        // The HTTP library asks no further once all of a stated length was handed over.
+        // The HTTP library does not poll again once it has received the stated length.
         if matches!(next, Poll::Ready(None)) || *length == Some(0) {
             self.progress.end_body();
         }
--- a/crates/emberpin-limiter/src/upstream/server/response.rs
+++ b/crates/emberpin-limiter/src/upstream/server/response.rs
@@ -18,8 +18,8 @@
 
 /// No response may be longer than this, even where it could be streamed.
 const MAX_RESPONSE_BYTES: u64 = 256 << 20;
-/// How long a response without a stated length is buffered before it is streamed. A response that breaks off while it is
-/// buffered may still be retried.
+/// How long a response without a stated length is buffered before it is streamed. A response that breaks off while it
+/// is buffered may still be retried.
 const BUFFERING_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How to read the response to one request.
@@ -28,7 +28,7 @@
     pub(super) wire: &'a dyn Wire,
     /// The request id that the response must carry to belong to this request, see [`Wire::request_id`].
     pub(super) request_id: Option<&'a HeaderValue>,
-    /// A good response that is too long or too slow to buffer may be streamed; without this it is an error.
+    /// If set, a successful response that is too long or too slow to buffer is streamed; otherwise it is an error.
     pub(super) may_stream: bool,
     /// Maximum number of bytes of a body that are buffered.
     pub(super) buffer_limit: usize,
@@ -42,7 +42,7 @@
     Partial(Box<PartialResponse>),
 }
 
-/// Why an exchange brought no response.
+/// Why an exchange ended without a usable response.
 pub(super) enum ExchangeError {
     /// The connection broke or ended.
     ConnectionLost,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Why a body broke off. An error of the HTTP library's own, without an I/O error behind it, means invalid framing.
+/// Classifies an error in a body. An error without an I/O error as its source means invalid framing.
 fn body_error(error: &hyper::Error) -> ExchangeError {
     match io_error_kind(error) {
         Some(io::ErrorKind::TimedOut) => ExchangeError::Unacknowledged,
@@ -88,7 +88,7 @@
         let responding = self.sender.send_request(request);
         let response: Response<Incoming> = self.drive(responding).await?;
         let (parts, body) = response.into_parts();
-        if !is_framed(parts.version, &parts.headers) {
+        if !has_valid_framing(parts.version, &parts.headers) {
             return Err(ExchangeError::InvalidResponse);
         }
         let head = Response::from_parts(parts, ());
@@ -135,8 +135,8 @@
                 }
                 Ok(Some(Err(error))) => return Err(body_error(&error)),
                 Ok(None) => {
-                    // One more poll: a connection that closes after this response, or has unsolicited bytes behind
-                    // it, must not return to the pool.
+                    // One more poll, so that a connection that closes after this response, or carries unsolicited bytes
+                    // after it, does not return to the pool.
                     self.drive(std::future::ready(())).await;
                     let reusable = self.is_open().then_some(self);
                     return Ok(ReceivedBody::Complete(
@@ -171,10 +171,10 @@
     joined.into()
 }
 
-/// Whether the head says where the response ends: one length, or chunks, or the end of a connection that the server
-/// says it will close (RFC 9112, section 6.3). Without this a truncated response could pass for a complete one, and of
-/// two contradicting framings the HTTP library would follow one.
-fn is_framed(version: Version, headers: &HeaderMap) -> bool {
+/// Whether the head defines where the response ends: by one length, by chunked encoding, or by the end of a connection
+/// that the server says it will close (RFC 9112, section 6.3). Without this check, a truncated response could pass for
+/// a complete one, and the HTTP library would accept two contradictory framings and follow one of them.
+fn has_valid_framing(version: Version, headers: &HeaderMap) -> bool {
     let mut framings = headers
         .get_all(CONTENT_LENGTH)
         .iter()
--- a/crates/emberpin-limiter/src/upstream/server/streamed_response.rs
+++ b/crates/emberpin-limiter/src/upstream/server/streamed_response.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant, Sleep};
 
-/// A server that sends nothing more of a response for this long has broken it off.
+/// A response is treated as broken off once its server has sent nothing more of it for this long.
 const STALL_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A response whose head and first bytes have arrived.
@@ -27,7 +27,7 @@
 }
 
 impl PartialResponse {
-    /// Polls for the next chunk behind the buffered ones, and drives the connection that carries it.
+    /// Polls for the next chunk after the buffered ones, and polls the connection that carries it.
     fn poll_body(&mut self, context: &mut Context) -> Poll<Option<Result<Bytes, BodyInterrupted>>> {
         loop {
             self.connection.poll(context);
--- a/crates/emberpin-limiter/src/upstream/server/upstream.rs
+++ b/crates/emberpin-limiter/src/upstream/server/upstream.rs
@@ -1,4 +1,4 @@
-//! One incarnation of one server, and the attempts and health checks that go to it.
+//! One incarnation of one server, and the attempts and health checks that are sent to it.
 
 use super::connection::{ConnectError, ServerConnection};
 use super::exchange::{Exchange, ExchangedResponse};
@@ -17,25 +17,25 @@
 use tokio::sync::oneshot;
 use tokio::time::{timeout, Instant};
 
-/// One incarnation of one server, as attempts reach it.
+/// One incarnation of one server, to which attempts and health checks are sent.
 pub struct Upstream {
     /// Its address and start time.
     pub server: ServerInstance,
-    /// The name of this incarnation, where requests state which one they are meant for.
+    /// The name of this incarnation, where requests state the incarnation that they are addressed to.
     pub(super) instance: Option<HeaderValue>,
     pub(super) pool: Rc<Pool>,
     key: UpstreamKey,
-    /// Neither draining nor removed.
+    /// False once the server drains or is removed.
     open: Cell<bool>,
 }
 
 impl Upstream {
-    /// Creates the upstream of a server whose incarnation requests do not name.
+    /// Creates the upstream of a server, for requests that do not name its incarnation.
     pub fn new(server: ServerInstance, pool: Rc<Pool>) -> Rc<Upstream> {
         Upstream::of_instance(server, None, pool)
     }
 
-    /// Creates the upstream of an incarnation of a server, which requests name by `instance`.
+    /// Creates the upstream of an incarnation of a server; requests name it by `instance`, if it is set.
     pub fn of_instance(
         server: ServerInstance,
         instance: Option<HeaderValue>,
@@ -83,12 +83,13 @@
         let exchange = tokio::select! {
             biased;
             outcome = cancelled => Exchange {
+                // A part of the request may be written already.
                 sent: true,
                 ..Exchange::unsent(outcome.unwrap_or(Outcome::Cancelled))
             },
             exchange = self.exchange(request, Some(&outgoing), started, timeout) => exchange,
         };
-        self.describe(started, exchange)
+        self.attempt_end(started, exchange)
     }
 
     /// Sends a health check.
@@ -101,11 +102,11 @@
             .insert(HOST, HeaderValue::from_static("service.internal"));
         let limit = self.pool.limits.connect;
         let exchange = self.exchange(request, None, started, limit).await;
-        self.describe(started, exchange)
+        self.attempt_end(started, exchange)
     }
 
-    /// The end of an exchange as its caller receives it.
-    fn describe(&self, started: Instant, exchange: Exchange) -> AttemptEnd {
+    /// Converts an exchange to the end of an attempt, as the engine receives it.
+    fn attempt_end(&self, started: Instant, exchange: Exchange) -> AttemptEnd {
         let Exchange {
             outcome,
             response,
@@ -161,8 +162,8 @@
         }
     }
 
-    /// Whether the server accepts a connection now. The connection is kept for the next request. Also true if no socket is
-    /// free to find out.
+    /// Whether the server accepts connections now; the one opened is kept for the next request. Also true if no socket
+    /// is free for the check.
     pub async fn accepts_connections(&self) -> bool {
         match timeout(self.pool.limits.connect, self.connect(None)).await {
             Ok(Ok(connection)) => {
@@ -174,7 +175,7 @@
         }
     }
 
-    /// An idle connection that has been idle for less than `max_idle_time`, else a new one.
+    /// Returns an idle connection that has been idle for less than `max_idle_time`, else a new one.
     pub(super) async fn connect(
         &self,
         max_idle_time: Option<Duration>,
--- a/crates/emberpin-limiter/src/upstream/server/write_progress.rs
+++ b/crates/emberpin-limiter/src/upstream/server/write_progress.rs
@@ -1,4 +1,4 @@
-//! How far a request is written to its connection, observed at the socket.
+//! Tracks how much of a request is written to its connection, by observing the socket.
 
 use prometheus::IntCounter;
 use std::cell::{Cell, RefCell};
@@ -9,15 +9,15 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// How far the present request is written to its connection.
+/// How much of the current request is written to its connection.
 ///
-/// A request is complete once its whole body was handed over and the HTTP library has flushed after that: a flush
-/// succeeds only when the socket has accepted everything written.
+/// A request is complete once the HTTP library has received its whole body and has flushed after that: a flush succeeds
+/// only when the socket has accepted everything written.
 #[derive(Default)]
 pub(super) struct WriteProgress {
-    /// At least one byte of the present request was written.
+    /// At least one byte of the current request was written.
     started: Cell<bool>,
-    /// The HTTP library has taken the end of the request's body.
+    /// The HTTP library has received the end of the request's body.
     body_ended: Cell<bool>,
     complete: Cell<bool>,
     /// Counts the requests that were written completely; `None` for a health check, which is not counted.
@@ -25,7 +25,7 @@
 }
 
 impl WriteProgress {
-    /// Starts over for the next request on the connection.
+    /// Resets the progress for the next request on the connection.
     pub(super) fn reset(&self, attempts: Option<IntCounter>, body_is_empty: bool) {
         self.started.set(false);
         self.body_ended.set(body_is_empty);
@@ -33,7 +33,7 @@
         self.attempts.replace(attempts);
     }
 
-    /// Records that the request's whole body was handed over.
+    /// Records that the HTTP library has received the request's whole body.
     pub(super) fn end_body(&self) {
         self.body_ended.set(true);
     }
