--- a/crates/emberpin-config/tests/patch.rs
+++ b/crates/emberpin-config/tests/patch.rs
@@ -19,8 +19,8 @@
     patch.replacen(from, to, 1)
 }
 
-/// The error message of a body, or `parsed: ` and the patch if it is valid.
-fn rejection(body: &[u8]) -> String {
+/// The error message for an invalid body; `parsed: ` and the patch for a valid one.
+fn parse_result(body: &[u8]) -> String {
     parse_patch(body).map_or_else(
         |error| error.to_string(),
         |patch| format!("parsed: {patch:?}"),
@@ -130,6 +130,8 @@
 fn an_invalid_field_is_rejected_with_its_path() {
     let route = "upsert.vhosts[0].locs[0]";
     let dist = |shares: &str| format!("\"dist\":[{shares}]");
+    // The text that is replaced in the patch, its replacement, and the expected error message. Clients receive these
+    // messages in response bodies.
     let table = [
         // Fields outside of items.
         (
@@ -408,7 +410,7 @@
     ];
     for (from, to, message) in table {
         expect_that!(
-            rejection(with_replacement(from, to).as_bytes()),
+            parse_result(with_replacement(from, to).as_bytes()),
             eq(&message),
             "{from} -> {to}"
         );
@@ -420,11 +422,11 @@
     let host =
         |name: &str| format!("{{\"upsert\":{{\"vhosts\":[{{\"hostname\":{name},\"locs\":[]}}]}}}}");
     expect_that!(
-        rejection(host("\"\"").as_bytes()),
+        parse_result(host("\"\"").as_bytes()),
         eq("upsert.vhosts[0].hostname: is empty")
     );
     expect_that!(
-        rejection(host("\"h\"").as_bytes()),
+        parse_result(host("\"h\"").as_bytes()),
         eq("parsed: Patch { items: [] }")
     );
 }
@@ -439,18 +441,18 @@
 
 #[gtest]
 fn a_key_may_occur_twice_only_with_one_content() {
-    let two_services =
-        |a: &str, b: &str| rejection(body(&[a.into(), b.into()], &[], &[], &[]).as_bytes());
+    let parse_two_services =
+        |a: &str, b: &str| parse_result(body(&[a.into(), b.into()], &[], &[], &[]).as_bytes());
     let plain = r#"{"name":"s","hcheck":"/","maxconn":10,"ver":7}"#;
-    let respelled = r#"{"ver":7,"name":"\u0073","maxconn":10,"hcheck":"\/"}"#;
-    expect_that!(two_services(plain, plain), starts_with("parsed"));
-    expect_that!(two_services(plain, respelled), starts_with("parsed"));
+    let equivalent = r#"{"ver":7,"name":"\u0073","maxconn":10,"hcheck":"\/"}"#;
+    expect_that!(parse_two_services(plain, plain), starts_with("parsed"));
+    expect_that!(parse_two_services(plain, equivalent), starts_with("parsed"));
     expect_that!(
-        two_services(plain, &plain.replace('7', "8")),
+        parse_two_services(plain, &plain.replace('7', "8")),
         eq("upsert.svcs[1]: service s stands twice in the call")
     );
     expect_that!(
-        two_services(plain, &plain.replace("10", "11")),
+        parse_two_services(plain, &plain.replace("10", "11")),
         eq("upsert.svcs[1]: service s stands twice in the call")
     );
     let removals = |versions: [u64; 2]| {
@@ -462,11 +464,11 @@
         )
     };
     expect_that!(
-        rejection(removals([7, 7]).as_bytes()),
+        parse_result(removals([7, 7]).as_bytes()),
         starts_with("parsed")
     );
     expect_that!(
-        rejection(removals([7, 8]).as_bytes()),
+        parse_result(removals([7, 8]).as_bytes()),
         eq("remove.rtab[1]: route r stands twice in the call")
     );
     let hosts = [
@@ -474,11 +476,11 @@
         route("r", "b/", &[("s", 1)], 7),
     ];
     expect_that!(
-        rejection(body(&[], &hosts, &[], &[]).as_bytes()),
+        parse_result(body(&[], &hosts, &[], &[]).as_bytes()),
         eq("upsert.vhosts[1].locs[0]: route r stands twice in the call")
     );
     expect_that!(
-        rejection(body(&[], &hosts[..1], &[removal("r", 7)], &[]).as_bytes()),
+        parse_result(body(&[], &hosts[..1], &[removal("r", 7)], &[]).as_bytes()),
         eq("remove.rtab[0]: route r stands twice in the call")
     );
 }
--- a/crates/emberpin-failover/src/event.rs
+++ b/crates/emberpin-failover/src/event.rs
@@ -15,8 +15,8 @@
         acceptors: Vec<Member>,
     },
     /// Asks whether an attempt may be sent for a work that was started or taken over here. Answered by
-    /// [`Action::AllowAttempt`] or [`Action::DenyAttempt`], unless another request replaces this one or the work is
-    /// completed first.
+    /// [`Action::AllowAttempt`] or [`Action::DenyAttempt`], unless the work ends or another attempt of it is requested
+    /// first.
     AttemptRequested {
         /// The work, as named when it was started or taken over.
         work_id: WorkId,
@@ -24,7 +24,7 @@
         attempt: u32,
         /// The servers it is to be sent to.
         group: ServerGroup,
-        /// The request, in the form that a candidate needs to send it.
+        /// The client's request, in the form that a limiter needs to send it after a takeover.
         work: Work,
     },
     /// A work that was started or taken over here has an outcome, which was sent to the holders of its key.
@@ -81,30 +81,30 @@
     },
     /// Send the attempt: a majority has accepted it.
     AllowAttempt {
-        /// The work of the request for an attempt.
+        /// The work in [`Event::AttemptRequested`].
         work_id: WorkId,
-        /// The number of the attempt in that request.
+        /// The number of the attempt in [`Event::AttemptRequested`].
         attempt: u32,
     },
-    /// Do not send the attempt: another limiter runs the work, or no majority accepted in time.
+    /// Do not send the attempt: another limiter runs the work, or no majority accepted it in time.
     DenyAttempt {
-        /// The work of the request for an attempt.
+        /// The work in [`Event::AttemptRequested`].
         work_id: WorkId,
-        /// The number of the attempt in that request.
+        /// The number of the attempt in [`Event::AttemptRequested`].
         attempt: u32,
     },
     /// Run this work of another limiter; report [`Event::WorkCompleted`] or [`Event::TakeoverFailed`].
     TakeOver {
         /// The work, under the identity that its claimant gave it.
         work_id: WorkId,
-        /// The request; its time left counts from now.
+        /// The client's request; its time left counts from now.
         work: Work,
         /// The servers where it may have run already, and how long ago.
         first_attempt: FirstAttempt,
     },
-    /// The client may be sent the outcome: a majority has acknowledged it, the completion time-out is over, or this
+    /// The client may be sent the outcome: a majority has acknowledged it, the completion time-out has passed, or this
     /// limiter no longer owns the work.
-    CompletionConfirmed(WorkId),
+    AllowResponse(WorkId),
     /// No member runs this work. The host ends its key with this verdict.
     Abandoned {
         /// The work whose key was granted here.
--- a/crates/emberpin-failover/src/failover.rs
+++ b/crates/emberpin-failover/src/failover.rs
@@ -210,7 +210,7 @@
         let rate = self.config.max_takeovers_per_s;
         self.takeover_budget.refill(rate, self.now);
         self.deny_overdue_attempts(actions);
-        self.confirm_overdue_completions(actions);
+        self.expire_completions(actions);
         self.drop_expired_records();
         self.drop_expired_grants();
         self.prepare_due_takeovers(actions);
--- a/crates/emberpin-failover/src/failover/owner.rs
+++ b/crates/emberpin-failover/src/failover/owner.rs
@@ -196,7 +196,7 @@
     ) {
         let owned = self.owned.remove(&work_id);
         let Some(owned) = owned.filter(|owned| !owned.fenced) else {
-            return actions.push(Action::CompletionConfirmed(work_id));
+            return actions.push(Action::AllowResponse(work_id));
         };
         let completion = PendingCompletion {
             acceptor_count: owned.acceptors.len(),
@@ -221,7 +221,7 @@
         completion.acknowledged.insert(from);
         if is_majority(completion.acknowledged.len(), completion.acceptor_count) {
             self.completing.remove(&work_id);
-            actions.push(Action::CompletionConfirmed(work_id));
+            actions.push(Action::AllowResponse(work_id));
         }
     }
 
@@ -237,12 +237,12 @@
         }
     }
 
-    pub(super) fn confirm_overdue_completions(&mut self, actions: &mut Vec<Action>) {
+    pub(super) fn expire_completions(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         self.completing.retain(|work_id, completion| {
             let overdue = completion.deadline <= now;
             if overdue {
-                actions.push(Action::CompletionConfirmed(*work_id));
+                actions.push(Action::AllowResponse(*work_id));
             }
             !overdue
         });
--- a/crates/emberpin-failover/tests/acceptor.rs
+++ b/crates/emberpin-failover/tests/acceptor.rs
@@ -75,7 +75,7 @@
     assert!(promises(&mut acceptor, ballot(2, 2)));
     assert!(
         !promises(&mut acceptor, ballot(1, 3)),
-        "the lower ballot would allow what the higher one's proposer was promised is not allowed"
+        "a lower ballot is rejected after a higher one has been promised"
     );
     assert!(promises(&mut acceptor, ballot(2, 3)));
 }
@@ -87,7 +87,7 @@
     assert!(promises(&mut acceptor, ballot(2, 2)));
     assert!(
         !accepts(&mut acceptor, 1, CLAIMANT_BALLOT, 100),
-        "the candidate was promised that the claimant's attempt is not allowed"
+        "the claimant's ballot is lower than the one promised to the candidate"
     );
     assert!(!accepts(&mut acceptor, 1, ballot(1, 3), 100));
     assert!(accepts(&mut acceptor, 1, ballot(2, 2), 100));
--- a/crates/emberpin-failover/tests/attempts.rs
+++ b/crates/emberpin-failover/tests/attempts.rs
@@ -19,11 +19,11 @@
     assert_eq!(cluster.sent.len(), 1);
     cluster.handle(CLAIMANT, Event::WorkCompleted(cluster.work_id()));
     assert_eq!(
-        cluster.confirmed, 0,
+        cluster.allowed_responses, 0,
         "its client gets no outcome before a majority knows of it"
     );
     cluster.run_for(50.0);
-    assert_eq!(cluster.confirmed, 1);
+    assert_eq!(cluster.allowed_responses, 1);
     assert_usage(&cluster, 1, 0);
     cluster.run_for(10_000.0);
     assert_usage(&cluster, 0, 0);
@@ -36,23 +36,23 @@
 }
 
 #[test]
-fn an_outcome_is_confirmed_after_the_completion_timeout_when_no_acceptor_answers() {
+fn a_response_is_allowed_after_the_completion_timeout_when_no_acceptor_answers() {
     let mut cluster = Cluster::with_sent_attempt(Some(DEDUPLICATION_WINDOW_MS));
     for other in 1..3 {
         cluster.handle(CLAIMANT, Event::MemberUnreachable(Member(other)));
     }
     cluster.handle(CLAIMANT, Event::WorkCompleted(cluster.work_id()));
     cluster.run_for(300.0);
-    assert_eq!(cluster.confirmed, 0);
+    assert_eq!(cluster.allowed_responses, 0);
     cluster.run_for(150.0);
-    assert_eq!(cluster.confirmed, 1);
+    assert_eq!(cluster.allowed_responses, 1);
 }
 
 #[test]
 fn acceptances_after_the_reply_timeout_allow_no_attempt() {
     let mut cluster = Cluster::new(Some(DEDUPLICATION_WINDOW_MS), 10.0);
     cluster.start_work();
-    // The owner's timers do not run for longer than the time-out: acceptors may have promised the work meanwhile.
+    // The owner is paused for longer than the time-out: acceptors may have promised the work to a candidate meanwhile.
     cluster.now_ms += 2.0 * REPLY_TIMEOUT_MS;
     (1..3).for_each(|to| _ = cluster.deliver(CLAIMANT, to));
     (1..3).for_each(|from| _ = cluster.deliver(from, CLAIMANT));
--- a/crates/emberpin-failover/tests/common/mod.rs
+++ b/crates/emberpin-failover/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! Four limiters over a network in memory that delays, loses, and reorders between pairs of them. The first three are
-//! the acceptors of one work, which the first one claims.
+//! Four limiters connected by an in-memory network, which delays, loses and duplicates messages and keeps their order
+//! only between the same two limiters. The first three limiters are the acceptors of one work, which the first one
+//! claims.
 #![allow(dead_code, missing_docs, reason = "each test file uses a part of it")]
 
 use emberpin_failover::{
@@ -78,7 +79,7 @@
     pub sent: Vec<SentAttempt>,
     pub verdicts: Vec<Verdict>,
     pub takeovers: usize,
-    pub confirmed: usize,
+    pub allowed_responses: usize,
     pub denied: usize,
     pub work: Work,
     max_takeovers_per_s: f64,
@@ -99,7 +100,7 @@
             sent: Vec::new(),
             verdicts: Vec::new(),
             takeovers: 0,
-            confirmed: 0,
+            allowed_responses: 0,
             denied: 0,
             work: Work {
                 payload: vec![1; 100],
@@ -138,7 +139,7 @@
         self.handle(index, event);
     }
 
-    /// The key is granted by its holders, and the first attempt requested.
+    /// Grants the key at its holders, and requests the first attempt.
     pub fn start_work(&mut self) {
         let work_id = self.work_id();
         for index in 0..ACCEPTORS.len() {
@@ -199,12 +200,12 @@
                 assert_eq!(first_attempt.group, GROUP);
                 self.request_attempt(index, work_id, 0, work);
             }
-            Action::CompletionConfirmed(_) => self.confirmed += 1,
+            Action::AllowResponse(_) => self.allowed_responses += 1,
             Action::Abandoned { verdict, .. } => self.verdicts.push(verdict),
         }
     }
 
-    /// Delivers the oldest message of a link; false, if there is none.
+    /// Delivers the oldest message of a link. Returns whether there was one.
     pub fn deliver(&mut self, from: usize, to: usize) -> bool {
         let link = self.links.get_mut(&(from, to));
         let Some(message) = link.and_then(VecDeque::pop_front) else {
@@ -219,7 +220,7 @@
         _ = link.and_then(VecDeque::pop_front);
     }
 
-    /// Appends a copy of the oldest message of a link behind all others.
+    /// Appends a copy of the oldest message of a link to its end.
     pub fn duplicate(&mut self, from: usize, to: usize) {
         let Some(link) = self.links.get_mut(&(from, to)) else {
             return;
@@ -267,7 +268,7 @@
         (0..MEMBERS).for_each(|other| self.observe_incarnation(other, index));
     }
 
-    /// Reports to a member that an incarnation of another one has ended, whether it has or not.
+    /// Reports to a member that an incarnation of another one has ended, truly or not.
     pub fn report_ended(&mut self, index: usize, ended: usize, incarnation_number: u64) {
         let incarnation = Incarnation {
             number: incarnation_number,
--- a/crates/emberpin-failover/tests/random_faults.rs
+++ b/crates/emberpin-failover/tests/random_faults.rs
@@ -68,7 +68,7 @@
             apply(&mut cluster, &step);
             let sent = &cluster.sent;
             if cluster.verdicts.contains(&Verdict::NotSent) {
-                prop_assert!(sent.is_empty(), "abandoned as not sent, and sent: {sent:?}");
+                prop_assert!(sent.is_empty(), "abandoned as not sent, but sent: {sent:?}");
             }
             if deduplicated {
                 let last_ms = sent.last().map_or(started_ms, |sent| sent.at_ms);
--- a/crates/emberpin-failover/tests/takeover.rs
+++ b/crates/emberpin-failover/tests/takeover.rs
@@ -18,7 +18,7 @@
     assert_eq!(
         (cluster.sent.len(), cluster.takeovers),
         (2, 1),
-        "by its claimant, and by one successor"
+        "attempts and takeovers: the claimant and one successor each send an attempt"
     );
 }
 
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn an_attempt_that_no_majority_has_accepted_is_never_sent_after_a_takeover() {
+fn an_attempt_that_no_majority_has_accepted_is_never_sent_after_abandonment() {
     let mut cluster = Cluster::new(None, 10.0);
     cluster.start_work();
     // The claimant is slow, but running: its messages have not arrived when the others learn of its supposed end.
@@ -78,7 +78,7 @@
     cluster.kill(CLAIMANT, false);
     cluster.kill(1, false);
     cluster.restart(1);
-    // The other acceptor alone is no majority: nobody may abandon the work, least of all as not sent.
+    // The other acceptor alone is no majority, so it must give the work no verdict.
     cluster.report_claimant_ended();
     cluster.run_for(2_000.0);
     assert!(cluster.verdicts.is_empty(), "{:?}", cluster.verdicts);
@@ -130,7 +130,7 @@
     let mut cluster = Cluster::new(Some(DEDUPLICATION_WINDOW_MS), 0.0);
     cluster.start_work();
     cluster.run_for(50.0);
-    // A limiter without a rate may take over one work; there are two.
+    // At a rate limit of 0 takeovers per second the burst still allows one; there are two works to take over.
     let work_id = work_id(8);
     for index in 1..3 {
         let acceptors = ACCEPTORS.to_vec();
@@ -181,7 +181,7 @@
     let mut cluster = Cluster::with_sent_attempt(Some(DEDUPLICATION_WINDOW_MS));
     cluster.kill(CLAIMANT, false);
     for _ in 0..2 {
-        // First the connection ends, then the member is back in a new incarnation.
+        // The host reports a loss twice: when the connection ends, and when the member is back in a new incarnation.
         cluster.report_ended(1, CLAIMANT, 1);
         cluster.run_for(100.0);
     }
@@ -236,6 +236,6 @@
     cluster.run_for(500.0);
     assert_eq!(
         cluster.takeovers, 0,
-        "1.4 s after the first attempt the window less its margin is over"
+        "1.4 s after the first attempt the window of 1.5 s, less its safety margin, has passed"
     );
 }
--- a/crates/emberpin-limiter/src/stages/takeover.rs
+++ b/crates/emberpin-limiter/src/stages/takeover.rs
@@ -417,7 +417,7 @@
                 }
                 Action::AllowAttempt { work_id, attempt } => self.resolve(work_id, attempt, true),
                 Action::DenyAttempt { work_id, attempt } => self.resolve(work_id, attempt, false),
-                Action::CompletionConfirmed(id) => {
+                Action::AllowResponse(id) => {
                     if let Some(gate) = self.pending_completions.borrow_mut().remove(&id) {
                         gate.closing.set(false);
                         gate.closed.notify_one();
--- a/crates/emberpin-limiter/tests/link.rs
+++ b/crates/emberpin-limiter/tests/link.rs
@@ -18,7 +18,8 @@
     server: Listener,
     folder: PathBuf,
     links: Vec<SocketAddr>,
-    next: u32,
+    /// Id of the last request.
+    last_request: u32,
 }
 
 impl Drop for Site {
@@ -39,10 +40,10 @@
     /// Creates the files and keys; starts nothing.
     fn prepare(tls: bool) -> Site {
         let server = Listener::start();
-        let known = [target("s-1", server.address, "ready")];
+        let endpoints = [target("s-1", server.address, "ready")];
         let limiters: Vec<Limiter> = (0..3)
             .map(|n| {
-                let mut limiter = Limiter::prepare(&known);
+                let mut limiter = Limiter::prepare(&endpoints);
                 limiter.config["name"] = format!("n{n}").into();
                 limiter.config["settings"]["my-number"] = n.into();
                 limiter.config["settings"]["group-size"] = 3.into();
@@ -72,7 +73,7 @@
             server,
             folder,
             links,
-            next: 0,
+            last_request: 0,
         };
         site.configure(tls, &keys);
         site
@@ -112,8 +113,8 @@
     /// Sends a request with this key to limiter `n`, while the server serves every attempt. Returns the response and the
     /// number of attempts.
     fn ask(&mut self, n: usize, key: &str) -> (Message, u32) {
-        self.next += 1;
-        let id = format!("{}", self.next);
+        self.last_request += 1;
+        let id = format!("{}", self.last_request);
         // A customer of the plan `wide`, whose rate the test does not reach; `spread=3` lets all three limiters admit it.
         let text = request("submit", &id, "wide", 30.0).replace("spread=1", "spread=3");
         let text = text.replace(
@@ -289,7 +290,7 @@
 }
 
 #[test]
-fn a_limiter_that_was_stopped_and_continued_runs_no_key_again() {
+fn a_limiter_resumed_after_sigstop_replays_keys_without_new_attempts() {
     let mut site = Site::started(false);
     assert_eq!(site.ask_until_served(0, "one"), 1);
     site.limiters[2].signal("-STOP");
--- a/crates/emberpin-membership/src/deployment_bounds.rs
+++ b/crates/emberpin-membership/src/deployment_bounds.rs
@@ -16,13 +16,14 @@
 pub struct DeploymentBounds {
     /// How long an operator's call may take until it is acknowledged.
     pub ack: Duration,
-    /// How long after the acknowledgement of a change a proxy may still not apply it.
+    /// How long after the acknowledgement of a change a proxy may still route by the state before it.
     pub apply: Duration,
     /// How long after the acknowledgement of a drain the server may still get new requests.
     pub drain: Duration,
     /// How long after the acknowledgement of an evacuation its zone may still get requests.
     pub evac: Duration,
-    /// How long after the last fault a machine may be without contact.
+    /// How long after the last fault a machine may be out of contact with a majority of the stores and registries.
+    /// Compared with the time that a proxy needs to open a session with another registry.
     pub contact: Duration,
 }
 
@@ -61,7 +62,7 @@
     pub bound: Bound,
     /// The value that the deployment states.
     pub limit: Duration,
-    /// The sum of the delays, assuming no fault other than the one that the bound covers.
+    /// The sum of the delays after a single fault: a silent registry, a lost message or a network partition.
     pub sum: Duration,
 }
 
@@ -69,7 +70,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
-            "defs.bounds.{} is {} ms, and control may need {} ms",
+            "defs.bounds.{} is {} ms, but the delays of the control plane may add up to {} ms",
             self.bound.name(),
             self.limit.as_millis(),
             self.sum.as_millis()
--- a/crates/emberpin-membership/tests/deployment_bounds.rs
+++ b/crates/emberpin-membership/tests/deployment_bounds.rs
@@ -91,6 +91,6 @@
     };
     expect_that!(
         short.exceeded()[0].to_string(),
-        eq("defs.bounds.apply is 1500 ms, and control may need 2000 ms")
+        eq("defs.bounds.apply is 1500 ms, but the delays of the control plane may add up to 2000 ms")
     );
 }
--- a/crates/emberpin-membership/tests/operator_calls.rs
+++ b/crates/emberpin-membership/tests/operator_calls.rs
@@ -1,4 +1,4 @@
-//! The registry by which calls of the operator are handled.
+//! Which registry handles the calls of the operator.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -8,8 +8,8 @@
 use emberpin_membership::registry::OperatorCallTarget;
 use googletest::prelude::*;
 
-/// A cluster of three in which machine 1 is partitioned from the others and its store confirms nothing, until its
-/// leases have expired.
+/// A cluster of three in which machine 1 is partitioned from the others and its store confirms nothing, for long enough
+/// that the leases of its registry have expired.
 fn partitioned_cluster(guards: Guards) -> Cluster {
     let mut cluster = Cluster::new(3);
     cluster.restart_with_guards(1, guards);
--- a/crates/emberpin-membership/tests/sessions.rs
+++ b/crates/emberpin-membership/tests/sessions.rs
@@ -91,7 +91,7 @@
         for _ in 0..120 {
             match random.rand_range(0..8) {
                 0 if is_connected => {
-                    // Messages in flight are either lost with the connection, or were received before.
+                    // Messages in flight are either lost with the connection, or were received before it closed.
                     let messages = cluster.take_messages(1, session);
                     if random.rand_range(0..2) == 0 {
                         view.apply(&messages);
@@ -182,7 +182,8 @@
 }
 
 #[gtest]
-fn a_proxy_is_sent_the_instances_that_it_lists_with_a_wrong_status() -> googletest::Result<()> {
+fn a_proxy_that_lists_an_instance_with_a_wrong_status_is_sent_the_right_one(
+) -> googletest::Result<()> {
     let mut cluster = Cluster::confirmed(1);
     cluster.open_session(1, 1, None, vec![]);
     let mut view = ProxyView::default();
@@ -199,7 +200,7 @@
         cluster.run(10);
         cluster.open_session(1, 2, None, vec![]);
         view.apply(&cluster.take_messages(1, 2));
-        // Both with a snapshot and when the session resumes from a revision.
+        // The status is corrected both in a snapshot and in the changes of a resumed session.
         for (session, resume_from) in [(3, None), (4, view.revision)] {
             cluster.open_session(1, session, resume_from, vec![instance(&id, 1)]);
             let messages = cluster.take_messages(1, session);
@@ -227,7 +228,8 @@
             _ => None,
         })
     };
-    // The second proxy has sessions with two registries, as all proxies have in production.
+    // The session number stands for the proxy: proxy 2 has sessions with two registries, as all proxies have in
+    // production.
     for (machine, session) in [(1, 1), (1, 2), (2, 2), (3, 3)] {
         cluster.open_session(machine, session, None, vec![]);
     }
--- a/crates/emberpin-proxy/src/controller/control_sessions.rs
+++ b/crates/emberpin-proxy/src/controller/control_sessions.rs
@@ -39,7 +39,7 @@
 
     /// Records the number of proxies that share the servers, and marks this one as ready once a confirmed session has
     /// received its registry's whole state: a new process must not serve from a state older than that of a majority of
-    /// the core.
+    /// the stores and registries.
     pub(super) fn on_session_confirmed(&mut self, session: SessionId, proxy_count: u32) {
         if proxy_count != self.proxy_count {
             self.proxy_count = proxy_count;
@@ -52,7 +52,7 @@
             return;
         }
         self.has_whole_configuration = true;
-        if !self.services.is_empty() && !self.published.set_ready() {
+        if !self.services.is_empty() && !self.published.test_and_set_ready() {
             let items = self.configuration.len();
             log::info!("proxy is ready: session={session} configuration_items={items}");
         }
--- a/crates/emberpin-proxy/src/published_state.rs
+++ b/crates/emberpin-proxy/src/published_state.rs
@@ -34,7 +34,7 @@
 
     /// Marks the configuration as complete and recent; returns whether it already was. Readiness is never withdrawn
     /// except by [`start_draining`](Self::start_draining).
-    pub fn set_ready(&self) -> bool {
+    pub fn test_and_set_ready(&self) -> bool {
         self.ready.replace(true)
     }
 
--- a/crates/emberpin-registry/tests/settings_check.rs
+++ b/crates/emberpin-registry/tests/settings_check.rs
@@ -12,7 +12,8 @@
         RegistryProcess::check("2500ms"),
         eq(&(String::new(), Some(0)))
     );
-    let expected = "defs.bounds.apply is 1500 ms, and control may need 2000 ms\n";
+    let expected =
+        "defs.bounds.apply is 1500 ms, but the delays of the control plane may add up to 2000 ms\n";
     expect_that!(
         RegistryProcess::check("1500ms"),
         eq(&(expected.to_string(), Some(0)))
--- a/crates/emberpin-store/src/disk/watermark.rs
+++ b/crates/emberpin-store/src/disk/watermark.rs
@@ -1,4 +1,4 @@
-//! The watermark in each write, by which opening the disk detects missing writes.
+//! The watermark that each write contains. It is checked when the disk is opened, so that missing writes are detected.
 
 use std::fmt;
 
--- a/crates/emberpin-store/src/listener.rs
+++ b/crates/emberpin-store/src/listener.rs
@@ -60,8 +60,8 @@
     }
 }
 
-/// Logs a malformed frame, which indicates a bug in some build, but not a broken connection. `malformed_frames` counts
-/// the malformed frames so far.
+/// Logs the end of a connection if a malformed frame caused it, which indicates a bug in one of the two builds. Other
+/// ends are not logged. `malformed_frames` counts the malformed frames of all connections.
 fn log_if_malformed(peer: IpAddr, error: &ConnectionError, malformed_frames: &AtomicU64) {
     if let ConnectionError::Malformed(_)
     | ConnectionError::MessageTooLong(_)
@@ -69,7 +69,7 @@
     {
         let earlier = malformed_frames.fetch_add(1, Ordering::Relaxed);
         log::warn!(
-            "connection closed at an unreadable frame: peer={peer} error={error} earlier={earlier}"
+            "connection closed at an unreadable frame: peer={peer} error={error} earlier_unreadable_frames={earlier}"
         );
     }
 }
@@ -193,7 +193,7 @@
     }
 }
 
-/// Writes replies until the connection breaks, the registry accepts a reply too late, or the queue is closed.
+/// Writes replies until the connection breaks, a write times out, or the queue is closed.
 async fn write_replies(
     mut writer: OwnedWriteHalf,
     mut frames: QueuedFrames,
--- a/crates/emberpin-store/tests/common/mod.rs
+++ b/crates/emberpin-store/tests/common/mod.rs
@@ -10,7 +10,7 @@
 pub mod settings;
 mod store_node;
 
-pub use store_node::{nodes, single_node, StoreNode, STORE_PROGRAM};
+pub use store_node::{nodes_in_subnet, single_node, StoreNode, STORE_PROGRAM};
 
 use std::future::Future;
 use std::net::{Ipv4Addr, TcpListener};
--- a/crates/emberpin-store/tests/common/store_node.rs
+++ b/crates/emberpin-store/tests/common/store_node.rs
@@ -286,11 +286,12 @@
     timeout(TEST_TIMEOUT, handshake).await.ok()?.ok()
 }
 
-/// Creates machines with the addresses 127.9.`net`.1, .2 and so on. The first three addresses are the seeds.
-pub fn nodes(net: u8, count: u8) -> Vec<StoreNode> {
-    let address = |host| Ipv4Addr::new(127, 9, net, host);
+/// Creates machines with the addresses 127.9.`subnet`.1, .2 and so on. The first three addresses are the seeds. Tests
+/// that run concurrently need different subnets.
+pub fn nodes_in_subnet(subnet: u8, count: u8) -> Vec<StoreNode> {
+    let address = |host| Ipv4Addr::new(127, 9, subnet, host);
     let addresses: Vec<Ipv4Addr> = (1..=4).map(address).collect();
-    let port = free_port(&addresses, net);
+    let port = free_port(&addresses, subnet);
     let node = |host| StoreNode {
         ip: address(host),
         port,
@@ -303,8 +304,8 @@
 }
 
 /// Creates one machine, which is the only voter.
-pub fn single_node(net: u8) -> StoreNode {
-    let mut node = nodes(net, 1).remove(0);
+pub fn single_node(subnet: u8) -> StoreNode {
+    let mut node = nodes_in_subnet(subnet, 1).remove(0);
     node.seeds.truncate(1);
     node
 }
--- a/crates/emberpin-store/tests/connections.rs
+++ b/crates/emberpin-store/tests/connections.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{nodes, run, service_patch, single_node, StoreNode, TEST_TIMEOUT};
+use common::{nodes_in_subnet, run, service_patch, single_node, StoreNode, TEST_TIMEOUT};
 use emberpin_runtime::identity::ProcessIdentity;
 use emberpin_runtime::system_id::SystemId;
 use emberpin_store::protocol::StoreReply;
@@ -24,7 +24,7 @@
 #[gtest]
 fn a_malformed_frame_closes_its_connection_and_no_other() {
     run(async {
-        let mut nodes = nodes(6, 3);
+        let mut nodes = nodes_in_subnet(6, 3);
         nodes.iter_mut().for_each(StoreNode::bootstrap);
         for bytes in [&[0, 0, 0, 2, 9, 9][..], &[0xff; 64][..]] {
             let mut stream = nodes[0].connect().await;
@@ -84,7 +84,7 @@
 #[gtest]
 fn a_store_rejects_peers_of_another_system_and_learns_its_own_when_it_joins() {
     run(async {
-        let mut nodes = nodes(16, 4);
+        let mut nodes = nodes_in_subnet(16, 4);
         nodes[..3].iter_mut().for_each(StoreNode::bootstrap);
         let own = wait_for_system(&nodes[0]).await;
         nodes[3].start();
--- a/crates/emberpin-store/tests/disk_faults.rs
+++ b/crates/emberpin-store/tests/disk_faults.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{nodes, run, service_patch, single_node, StoreNode};
+use common::{nodes_in_subnet, run, service_patch, single_node, StoreNode};
 use emberpin_store::protocol::{DiskState, RequestId, StoreReply, StoreRequest};
 use googletest::prelude::*;
 use std::fs;
@@ -103,7 +103,7 @@
 #[gtest]
 fn a_store_with_a_full_disk_learns_changes_and_votes_again_with_free_space() {
     run(async {
-        let mut nodes = nodes(12, 3);
+        let mut nodes = nodes_in_subnet(12, 3);
         nodes.iter_mut().for_each(StoreNode::bootstrap);
         expect_that!(nodes[0].patch(&batch_patch(0)).await, eq(200));
         nodes[0].kill();
@@ -136,7 +136,7 @@
 #[gtest]
 fn a_stalled_disk_rejects_changes_and_delays_neither_reads_nor_other_stores() {
     run(async {
-        let mut nodes = nodes(13, 3);
+        let mut nodes = nodes_in_subnet(13, 3);
         nodes
             .iter_mut()
             .for_each(StoreNode::bootstrap_with_stallable_disk);
@@ -171,7 +171,7 @@
 #[gtest]
 fn changes_are_accepted_when_each_sync_is_delayed_by_150_ms() {
     run(async {
-        let mut nodes = nodes(14, 3);
+        let mut nodes = nodes_in_subnet(14, 3);
         for node in &mut nodes {
             node.bootstrap_with_slow_syncs(Duration::from_millis(150));
         }
@@ -231,7 +231,7 @@
 
 #[gtest]
 fn a_store_with_the_disk_of_another_machine_does_not_start() {
-    let mut nodes = nodes(4, 2);
+    let mut nodes = nodes_in_subnet(4, 2);
     run(async {
         nodes[0].bootstrap();
         nodes[0]
--- a/crates/emberpin-store/tests/replication.rs
+++ b/crates/emberpin-store/tests/replication.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{nodes, run, service_patch, StoreNode};
+use common::{nodes_in_subnet, run, service_patch, StoreNode};
 use emberpin_config::{Item, ItemKind, Version};
 use emberpin_consensus::EvacuationChange;
 use emberpin_store::protocol::{RequestId, StoreReply, StoreRequest};
@@ -20,7 +20,7 @@
 #[gtest]
 fn a_change_reaches_all_stores_and_survives_a_restart_of_all() {
     run(async {
-        let mut nodes = nodes(1, 3);
+        let mut nodes = nodes_in_subnet(1, 3);
         nodes.iter_mut().for_each(StoreNode::bootstrap);
         expect_that!(nodes[0].patch(&service_patch("a", 7)).await, eq(200));
         expect_that!(nodes[1].patch(&service_patch("a", 7)).await, eq(200));
@@ -73,7 +73,7 @@
 #[gtest]
 fn an_acknowledged_change_survives_a_lost_disk() {
     run(async {
-        let mut nodes = nodes(2, 3);
+        let mut nodes = nodes_in_subnet(2, 3);
         nodes.iter_mut().for_each(StoreNode::bootstrap);
         // A store that is killed before its first sync would count as a second lost disk, and only one is tolerated.
         let all: Vec<Ipv4Addr> = nodes.iter().map(|node| node.ip).collect();
@@ -116,7 +116,7 @@
 #[gtest]
 fn a_retry_is_acknowledged_and_conflicting_contents_are_rejected_after_later_changes() {
     run(async {
-        let mut nodes = nodes(17, 3);
+        let mut nodes = nodes_in_subnet(17, 3);
         nodes.iter_mut().for_each(StoreNode::bootstrap);
         expect_that!(nodes[0].patch(&service_patch("x", 5)).await, eq(200));
         expect_that!(nodes[1].patch(&service_patch("x", 6)).await, eq(200));
@@ -144,7 +144,7 @@
 #[gtest]
 fn a_first_patch_with_many_routes_is_applied_completely() {
     run(async {
-        let mut nodes = nodes(5, 3);
+        let mut nodes = nodes_in_subnet(5, 3);
         nodes.iter_mut().for_each(StoreNode::bootstrap);
         let locs: Vec<String> = (0..800)
             .map(|number| {
--- a/crates/emberpin-store/tests/roster.rs
+++ b/crates/emberpin-store/tests/roster.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{nodes, run, service_patch, StoreNode};
+use common::{nodes_in_subnet, run, service_patch, StoreNode};
 use googletest::prelude::*;
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 #[gtest]
 fn a_new_store_replaces_a_voter_that_was_killed() {
     run(async {
-        let mut nodes = nodes(3, 4);
+        let mut nodes = nodes_in_subnet(3, 4);
         nodes[..3].iter_mut().for_each(StoreNode::bootstrap);
         expect_that!(nodes[0].patch(&service_patch("a", 1)).await, eq(200));
         nodes[1].kill();
@@ -27,7 +27,7 @@
 #[gtest]
 fn a_terminated_store_leaves_the_roster_if_enough_voters_remain() {
     run(async {
-        let mut nodes = nodes(7, 4);
+        let mut nodes = nodes_in_subnet(7, 4);
         nodes[..3].iter_mut().for_each(StoreNode::bootstrap);
         expect_that!(nodes[0].patch(&service_patch("a", 1)).await, eq(200));
         nodes[3].start();
