--- a/crates/emberpin-store/src/listener.rs
+++ b/crates/emberpin-store/src/listener.rs
@@ -60,8 +60,8 @@
     }
 }
 
-/// Logs a malformed frame, which indicates a bug in some build, but not a broken connection. `malformed_frames` counts
-/// the malformed frames so far.
+/// Logs the end of a connection if a malformed frame caused it, which indicates a bug in one of the two builds. Other
+/// ends are not logged. `malformed_frames` counts the malformed frames of all connections.
 fn log_if_malformed(peer: IpAddr, error: &ConnectionError, malformed_frames: &AtomicU64) {
     if let ConnectionError::Malformed(_)
     | ConnectionError::MessageTooLong(_)
@@ -193,7 +193,7 @@
     }
 }
 
-/// Writes replies until the connection breaks, the registry accepts a reply too late, or the queue is closed.
+/// Writes replies until the connection breaks, a write times out, or the queue is closed.
 async fn write_replies(
     mut writer: OwnedWriteHalf,
     mut frames: QueuedFrames,
