--- a/crates/emberpin-limiter/src/between/handover.rs
+++ b/crates/emberpin-limiter/src/between/handover.rs
@@ -41,7 +41,7 @@
     /// The time on its clock, from which the new process's clock continues.
     pub clock: Millis,
     /// The revision of its endpoint list.
-    pub rev: u64,
+    pub revision: u64,
     /// Its endpoint list, as JSON.
     targets: Vec<u8>,
     /// The names of all servers that it has ever received.
@@ -53,14 +53,14 @@
 impl HandoverState {
     pub fn new(
         clock: Millis,
-        rev: u64,
+        revision: u64,
         targets: &[Target],
         names: Vec<String>,
         gateway: Handover,
     ) -> HandoverState {
         HandoverState {
             clock,
-            rev,
+            revision,
             targets: serde_json::to_vec(targets).unwrap_or_default(),
             names,
             gateway,
--- a/crates/emberpin-limiter/src/front/clients.rs
+++ b/crates/emberpin-limiter/src/front/clients.rs
@@ -261,8 +261,11 @@
             && admission::idempotency_key(&outgoing.headers).is_some();
         let stage = self.idempotency.as_ref().filter(|_| has_key);
         let takeover = stage.and_then(|stage| stage.takeover());
-        let gate = takeover.map(|takeover| takeover.gate(admitted.class, expires));
-        outgoing.attempt_check = gate.clone().map(|gate| gate as Rc<dyn AttemptCheck>);
+        let attempt_check =
+            takeover.map(|takeover| takeover.new_attempt_check(admitted.class, expires));
+        outgoing.attempt_check = attempt_check
+            .clone()
+            .map(|check| check as Rc<dyn AttemptCheck>);
         let terms = Terms {
             class: admitted.class,
             plan: admitted.plan,
@@ -281,7 +284,7 @@
             units: admitted.units,
             set_size: admitted.set_size,
             set_first: admitted.set_first,
-            ran: None,
+            prior_attempt: None,
             time_limit,
             expires,
             outgoing: outgoing.clone(),
@@ -298,7 +301,7 @@
         if let (Some(stage), Some(key)) = (stage, admission::idempotency_key(&outgoing.headers)) {
             let keyed = KeyedRequest {
                 outgoing: &outgoing,
-                gate,
+                attempt_check,
                 terms,
                 body,
                 key,
@@ -462,7 +465,7 @@
                 units: terms.units,
                 set_size: terms.set_size,
                 set_first: terms.set_first,
-                ran: Some(work.ran),
+                prior_attempt: Some(work.prior_attempt),
                 time_limit: work.time_limit,
                 expires: Instant::now() + work.time_limit,
                 outgoing: Rc::new(work.outgoing),
--- a/crates/emberpin-limiter/src/limiter.rs
+++ b/crates/emberpin-limiter/src/limiter.rs
@@ -6,8 +6,8 @@
 //!                                                  discovery, peers, timers
 //! ```
 //!
-//! All inputs reach the driver through one bounded channel, on one thread. The stage in brackets is optional: it is added
-//! at the start if an operator file enables it.
+//! All inputs reach the driver through one bounded channel, on one thread. The stage in brackets is optional: it is
+//! added at the start if an operator file enables it.
 
 use crate::between::handover::{self, Upgrade};
 use crate::between::link::Link;
@@ -42,8 +42,8 @@
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, LocalSet};
 
-/// Maximum number of inputs queued for the driver. A sender that finds the queue full waits, or drops the input if it is
-/// one that may be lost.
+/// Maximum number of inputs queued for the driver. A sender that finds the queue full waits, or drops the input if it
+/// is one that may be lost.
 const MAX_QUEUED_INPUTS: usize = 1024;
 /// The length of the operating system's queue of connections that are not accepted yet.
 const ACCEPT_BACKLOG: u32 = 512;
@@ -70,46 +70,50 @@
 async fn run(mut config: Config) -> Result<(), String> {
     let mut terminated = signal_stream(SignalKind::terminate())?;
     let hung_up = signal_stream(SignalKind::hangup())?;
-    let (inputs, received) = mpsc::channel(MAX_QUEUED_INPUTS);
+    let (inputs, received_inputs) = mpsc::channel(MAX_QUEUED_INPUTS);
     let (listener, inherited) = bind(config.listen)?;
     let metrics = LimiterMetrics::new(&config.names.class_names())?;
     let ready = Arc::new(AtomicBool::new(false));
-    // The sender is kept alive, as without an operator API the driver would otherwise see a closed channel.
+    // The sender is kept alive because without an operator API the driver would otherwise see a closed channel.
     let (_unused_sender, no_commands) = mpsc::channel(1);
     let commands = match config.ops {
         Some(at) => operator_api::open(at, ready.clone(), metrics.clone())?,
         None => no_commands,
     };
-    // `supersede` is kept alive here, as without a link the channel would otherwise seem closed.
-    let (supersede, mut superseded) = mpsc::unbounded_channel();
+    // `superseded_tx` is kept alive here because without a link the channel would otherwise be closed.
+    let (superseded_tx, mut superseded) = mpsc::unbounded_channel();
     let link = start_link(&config)?;
     let idempotency = match &config.idempotency {
         Some(settings) => Some(Idempotency::start(
             settings,
             &config,
             link.clone(),
-            supersede.clone(),
+            superseded_tx.clone(),
         )?),
         None => None,
     };
-    // Every step that may fail is done, so the previous process, if there is one, can hand over its state now.
+    // Every step that can fail because of the settings has succeeded, so the previous process, if there is one, can
+    // hand over its state now.
     let mut process = Process::default();
     let handover_path = inherited.then(handover::handover_socket_path).flatten();
-    let (handed_over, older) = handover::request_state(&mut process, handover_path.as_deref())
-        .await?
-        .unzip();
+    let (handed_over, predecessor) =
+        handover::request_state(&mut process, handover_path.as_deref())
+            .await?
+            .unzip();
     let clock = handed_over
         .as_ref()
         .map_or_else(Clock::start, |state| Clock::resume(state.clock));
     let peers = start_peers(&config, &inputs, inherited)?;
     let (sibling_event_tx, sibling_events) = mpsc::channel(MAX_QUEUED_INPUTS);
     let socket_budget = Rc::new(SocketBudget::new(
-        older.as_ref().map(|_| assumed_sibling_sockets(&config)),
+        predecessor
+            .as_ref()
+            .map(|_| assumed_sibling_sockets(&config)),
     ));
     let upgrade = Upgrade::start(
         process,
         handover_path,
-        older,
+        predecessor,
         peers.clone(),
         sibling_event_tx,
         socket_budget.clone(),
@@ -120,9 +124,14 @@
     }
     let revision = handed_over
         .as_ref()
-        .map_or(config.known.revision, |state| state.rev);
+        .map_or(config.known.revision, |state| state.revision);
     let list_calls = ListCalls::new(&config, clock.now(), handed_over.is_some());
-    let peer_lists = PeerLists::start(&config, link.as_ref(), supersede.clone(), inputs.clone());
+    let peer_lists = PeerLists::start(
+        &config,
+        link.as_ref(),
+        superseded_tx.clone(),
+        inputs.clone(),
+    );
     let discovery = Discovery::start(
         config.discovery,
         revision,
@@ -139,7 +148,7 @@
     ));
     let (max_drain_time, drain_grace) = (config.longest_deadline(), config.connections.drain_grace);
     if let Some(takeover) = idempotency.as_ref().and_then(|stage| stage.takeover()) {
-        takeover.run_with(takeover_runner(inputs.clone()));
+        takeover.set_runner(takeover_runner(inputs.clone()));
     }
     let frontend = ClientFrontend::new(
         &config,
@@ -176,7 +185,8 @@
         metrics,
         pool,
     };
-    let driver = spawn_local(Driver::new(config, parts, handed_over).run(received, channels));
+    let driver =
+        spawn_local(Driver::new(config, parts, handed_over).run(received_inputs, channels));
 
     tokio::select! {
         () = become_ready(list_trust, &client_listener, &ready) => {}
@@ -200,7 +210,7 @@
     match inherited_socket::listener(address)? {
         Some(inherited) => {
             let listener = TcpListener::from_std(inherited)
-                .map_err(|e| format!("the inherited socket: {e}"))?;
+                .map_err(|e| format!("cannot use the inherited socket: {e}"))?;
             Ok((listener, true))
         }
         None => Ok((listen(address)?, false)),
--- a/crates/emberpin-limiter/src/messages.rs
+++ b/crates/emberpin-limiter/src/messages.rs
@@ -175,7 +175,7 @@
     /// The first of those limiters.
     pub set_first: GatewayId,
     /// The attempt that another limiter may have sent, if this request was taken over from it.
-    pub ran: Option<PriorAttempt>,
+    pub prior_attempt: Option<PriorAttempt>,
     /// How long the decision module may take, counted from the last byte of the request.
     pub time_limit: Duration,
     /// When the last byte of its answer must have been sent; far in the future while its body is uploaded.
@@ -278,7 +278,7 @@
         ended: AttemptEnd,
     },
     /// An endpoint list, or changes to it.
-    Listing(EndpointList),
+    EndpointList(EndpointList),
     /// A message from another limiter.
     Peer {
         /// The limiter that sent it.
--- a/crates/emberpin-limiter/src/operate/config.rs
+++ b/crates/emberpin-limiter/src/operate/config.rs
@@ -134,11 +134,11 @@
     /// The limits of connections to servers.
     pub(crate) fn pool_limits(&self) -> PoolLimits {
         PoolLimits {
-            connect: self.connect_timeout,
-            idle: self.server_idle_timeout,
+            connect_timeout: self.connect_timeout,
+            idle_timeout: self.server_idle_timeout,
             max_idle_per_server: self.connections.idle_per_server,
             sockets: self.server_sockets,
-            unacknowledged: None,
+            unacknowledged_timeout: None,
             buffered_response_bytes: MAX_BUFFERED_BODY,
         }
     }
--- a/crates/emberpin-limiter/src/operate/operator.rs
+++ b/crates/emberpin-limiter/src/operate/operator.rs
@@ -73,9 +73,9 @@
     #[serde(
         rename = "ask_ms",
         deserialize_with = "link_duration",
-        default = "default_ask_within"
+        default = "default_query_timeout"
     )]
-    pub ask_within: Duration,
+    pub query_timeout: Duration,
 }
 
 /// One limiter of the cluster.
@@ -304,8 +304,8 @@
             let shown = path.display();
             let text =
                 std::fs::read_to_string(path).map_err(|e| format!("cannot read {shown}: {e}"))?;
-            let file: File =
-                toml::from_str(&text).map_err(|e| place(&shown.to_string(), &text, &e))?;
+            let file: File = toml::from_str(&text)
+                .map_err(|e| format_toml_error(&shown.to_string(), &text, &e))?;
             let mut claim_table = |table| match set_by.insert(table, path) {
                 None => Ok(()),
                 Some(first) => {
@@ -445,7 +445,7 @@
             self.copies,
             self.members.len()
         )?;
-        writeln!(to, "ask_ms = {} ms", millis(self.ask_within))
+        writeln!(to, "ask_ms = {} ms", millis(self.query_timeout))
     }
 }
 
@@ -498,7 +498,7 @@
 }
 
 /// Formats a TOML error as `file:line:column: message`.
-pub fn place(file: &str, text: &str, error: &toml::de::Error) -> String {
+pub fn format_toml_error(file: &str, text: &str, error: &toml::de::Error) -> String {
     let message = error.message().replace('\n', " ");
     match error.span() {
         Some(span) => {
@@ -614,7 +614,7 @@
     Duration::from_millis(2000)
 }
 
-fn default_ask_within() -> Duration {
+fn default_query_timeout() -> Duration {
     Duration::from_millis(250)
 }
 
--- a/crates/emberpin-limiter/src/stages/idempotency.rs
+++ b/crates/emberpin-limiter/src/stages/idempotency.rs
@@ -11,7 +11,7 @@
 use crate::operate::crash_points;
 use crate::operate::operator::{self, Keys, Repeats};
 use crate::stages::key_log::{boot_clock, random, KeyLog, RecoveredState};
-use crate::stages::takeover::{Keys as TakeoverKeys, Takeover, Terms, WorkGate};
+use crate::stages::takeover::{Keys as TakeoverKeys, Takeover, TakeoverCheck, Terms};
 use bytes::Bytes;
 use emberpin_failover::WorkId;
 use emberpin_idempotency::claims::{
@@ -55,7 +55,7 @@
 }
 
 /// Number of entries that one step of a sweep rewrites, and the pause between steps: a sweep of a million entries takes
-/// some seconds, of which the stage's thread spends less than a tenth.
+/// a few seconds, of which the stage's thread spends less than a tenth on the sweep.
 const SWEEP_STEP: usize = 256;
 const SWEEP_PAUSE: Duration = Duration::from_millis(2);
 /// How often the log's size is checked.
@@ -66,8 +66,8 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum number of outcomes that are queued for an unreachable limiter.
 const MAX_QUEUED_OUTCOMES: usize = 4096;
-/// The retry advice where no majority of limiters is reachable, in milliseconds: about the time after which a limiter
-/// that was unreachable is observed again.
+/// The value of `Retry-After` where no majority of limiters is reachable, in milliseconds: about the time until a
+/// limiter that was unreachable is detected as reachable again.
 const NO_MAJORITY_RETRY_MS: f64 = 500.0;
 
 type FirstRequest = Pin<Box<dyn Future<Output = Answer>>>;
@@ -79,8 +79,8 @@
     waiting_clients: RefCell<HashMap<Ticket, oneshot::Sender<Reply<Answer>>>>,
     /// Requests that are not forwarded yet.
     unsent: RefCell<HashMap<Ticket, FirstRequest>>,
-    /// The gates of requests in flight.
-    gates: RefCell<HashMap<Ticket, Rc<WorkGate>>>,
+    /// The attempt checks of requests in flight, where other limiters may take them over.
+    attempt_checks: RefCell<HashMap<Ticket, Rc<TakeoverCheck>>>,
     takeover: Option<Rc<Takeover>>,
     log: Option<KeyLog>,
     link: Option<Rc<Link>>,
@@ -102,13 +102,13 @@
 /// A request with an idempotency key.
 pub struct KeyedRequest<'a> {
     pub outgoing: &'a UpstreamRequest,
-    /// The gate of its attempts, where other limiters may take it over.
-    pub gate: Option<Rc<WorkGate>>,
+    /// Permits its attempts, where other limiters may take it over.
+    pub attempt_check: Option<Rc<TakeoverCheck>>,
     pub terms: Terms,
     pub body: &'a Bytes,
     /// The value of its key's header.
     pub key: &'a str,
-    /// When its client must have a reply.
+    /// The deadline for the reply to its client.
     pub expires: Instant,
 }
 
@@ -136,9 +136,10 @@
 }
 
 impl Idempotency {
-    /// Starts the stage with the operator's settings. The secret of its keyed hash comes from the system's random source
-    /// and lasts as long as the table: as long as the log, or as the process. Where keys are replicated, all limiters read
-    /// the same secret from a file. `superseded` receives a message once a later incarnation of this instance runs.
+    /// Starts the stage with the operator's settings. The secret of its keyed hash comes from the system's random
+    /// source. It is kept as long as the table: in the log if there is one, else until the process exits. Where keys
+    /// are replicated, all limiters read the same secret from a file. A message is sent to `superseded_tx` once a
+    /// later incarnation of this instance runs.
     ///
     /// # Errors
     ///
@@ -147,7 +148,7 @@
         settings: &operator::Idempotency,
         config: &Config,
         link: Option<Rc<Link>>,
-        superseded: mpsc::UnboundedSender<()>,
+        superseded_tx: mpsc::UnboundedSender<()>,
     ) -> Result<Rc<Idempotency>, String> {
         let to_millis = |time: Duration| time.as_secs_f64() * 1000.0;
         let (log_events, received_log_events) = mpsc::unbounded_channel();
@@ -193,7 +194,7 @@
                 recovered.secret,
             ),
             Some((link, number)) => {
-                let rules = ClaimConfig {
+                let claim_config = ClaimConfig {
                     me: Member(*number),
                     members: link
                         .members
@@ -201,7 +202,7 @@
                         .map(|member| Member(member.number))
                         .collect(),
                     copies: link.copies.min(link.members.len()),
-                    ask_within: to_millis(link.ask_within),
+                    ask_within: to_millis(link.query_timeout),
                     slack: to_millis(link.dead_after),
                     waiters_per_key: settings.waiters_per_key,
                     max_queued_outcomes: MAX_QUEUED_OUTCOMES,
@@ -214,7 +215,7 @@
                 // All limiters must compute the same fingerprint for the same request, so they share the secret.
                 let secret = tls::read_secret(Path::new(&link.keys))?;
                 (
-                    Deduplicator::Replicated(Box::new(Claims::new(rules, limits, now))),
+                    Deduplicator::Replicated(Box::new(Claims::new(claim_config, limits, now))),
                     secret,
                 )
             }
@@ -233,7 +234,7 @@
             deduplicator: RefCell::new(deduplicator),
             waiting_clients: RefCell::default(),
             unsent: RefCell::default(),
-            gates: RefCell::default(),
+            attempt_checks: RefCell::default(),
             takeover,
             log,
             link,
@@ -265,22 +266,23 @@
             spawn_local(receive_link_events(
                 Rc::downgrade(&stage),
                 link.subscribe(KEY_MESSAGES),
-                superseded,
+                superseded_tx,
             ));
         }
         Ok(stage)
     }
 
-    /// Serves one keyed request from its arrival to its response. `first` passes it to the driver, if it is the first of
-    /// its key; `first` then runs to its end whether or not the client stays.
+    /// Serves one keyed request from its arrival to its response. If it is the first of its key, `first` passes it to
+    /// the driver, and then runs to its end whether or not the client stays connected.
     pub async fn serve<F>(self: &Rc<Self>, request: KeyedRequest<'_>, first: F) -> Response<Content>
     where
         F: Future<Output = Answer> + 'static,
     {
-        let (outgoing, terms, gate) = (request.outgoing, request.terms, request.gate);
+        let (outgoing, terms, attempt_check) =
+            (request.outgoing, request.terms, request.attempt_check);
         let customer = Customer(terms.customer.0);
-        // Without a link, each customer's keys belong to one limiter of the customer's set: limiters that cannot ask each
-        // other must not both forward a request. Nothing was sent.
+        // Without a link, each customer's keys belong to one limiter of the customer's set: limiters that cannot query
+        // each other must not both forward a request. Nothing was sent.
         if self.link.is_none()
             && owner(customer, terms.set_first.0, terms.set_size, self.group_size)
                 != Some(self.number)
@@ -305,8 +307,8 @@
         let method = outgoing.method.as_str();
         let fingerprint =
             Fingerprint::compute(&self.secret, method, path, terms.class.0, request.body);
-        if let (Some(takeover), Some(gate)) = (&self.takeover, &gate) {
-            takeover.set_payload(gate, outgoing, &terms, key.clone(), fingerprint);
+        if let (Some(takeover), Some(attempt_check)) = (&self.takeover, &attempt_check) {
+            takeover.set_payload(attempt_check, outgoing, &terms, key.clone(), fingerprint);
         }
         let ticket = Ticket(self.next_ticket.replace(self.next_ticket.get() + 1));
         let (reply_to, reply) = oneshot::channel();
@@ -323,8 +325,10 @@
             stage.on_first_answered(ticket, answer.clone());
             answer
         };
-        if let Some(gate) = &gate {
-            self.gates.borrow_mut().insert(ticket, gate.clone());
+        if let Some(attempt_check) = &attempt_check {
+            self.attempt_checks
+                .borrow_mut()
+                .insert(ticket, attempt_check.clone());
         }
         self.unsent.borrow_mut().insert(ticket, Box::pin(first));
         let within = request
@@ -341,13 +345,15 @@
         });
         let reply = timeout_at(request.expires, reply).await;
         drop(pending_client);
-        if let (Some(gate), Ok(Ok(Reply::Standard(TableReply::Own(_))))) = (&gate, &reply) {
-            _ = timeout_at(request.expires, gate.completion_known()).await;
+        if let (Some(attempt_check), Ok(Ok(Reply::Standard(TableReply::Own(_))))) =
+            (&attempt_check, &reply)
+        {
+            _ = timeout_at(request.expires, attempt_check.wait_for_confirmation()).await;
         }
         crash_points::reach("reply");
         match reply {
             Ok(Ok(reply)) => response_to(reply),
-            // Only this client's time is over: the first request continues.
+            // Only this client's deadline has passed; the first request continues.
             Ok(Err(_)) | Err(_) => {
                 let detail = "the first request of this key is still out";
                 problem(StatusCode::GATEWAY_TIMEOUT, detail, None)
@@ -357,15 +363,17 @@
 
     /// Reports the answer to a first request to the deduplicator and to the limiters that could take it over.
     fn on_first_answered(&self, ticket: Ticket, answer: Answer) {
-        let gate = self.gates.borrow_mut().remove(&ticket);
-        let work = gate.zip(self.takeover.as_ref());
-        // Where another limiter has taken the request over, a request that was not sent here may have been sent there.
-        let is_fenced = |(gate, takeover): &(Rc<WorkGate>, &Rc<Takeover>)| {
-            gate.work().is_some_and(|id| takeover.is_fenced(&id))
+        let attempt_check = self.attempt_checks.borrow_mut().remove(&ticket);
+        let work = attempt_check.zip(self.takeover.as_ref());
+        // Another limiter that has taken the request over may have sent it, even if this one has not.
+        let is_fenced = |(attempt_check, takeover): &(Rc<TakeoverCheck>, &Rc<Takeover>)| {
+            attempt_check
+                .work()
+                .is_some_and(|id| takeover.is_fenced(&id))
         };
-        let overtaken = work.as_ref().is_some_and(is_fenced);
+        let taken_over = work.as_ref().is_some_and(is_fenced);
         let answer = match answer {
-            Answer::Rejected { .. } if overtaken => Answer::Failed,
+            Answer::Rejected { .. } if taken_over => Answer::Failed,
             answer => answer,
         };
         let served = matches!(answer, Answer::Served(_));
@@ -374,8 +382,8 @@
             Answer::Rejected { .. } => Event::Rejected { ticket, answer },
             Answer::Failed => Event::Failed { ticket, answer },
         });
-        if let Some((gate, takeover)) = work {
-            takeover.request_completed(&gate, served);
+        if let Some((attempt_check, takeover)) = work {
+            takeover.request_completed(&attempt_check, served);
         }
         crash_points::reach("store");
     }
@@ -396,20 +404,21 @@
                 }
                 Action::Hold(_) => {}
                 Action::Drop(ticket) => {
-                    self.gates.borrow_mut().remove(&ticket);
+                    self.attempt_checks.borrow_mut().remove(&ticket);
                     self.unsent.borrow_mut().remove(&ticket);
                 }
                 Action::Record(record, ticket) => {
                     let Some(log) = &self.log else { continue };
-                    let taken = log.append_key(record, ticket.map(|ticket| RecordTicket(ticket.0)));
+                    let accepted =
+                        log.append_key(record, ticket.map(|ticket| RecordTicket(ticket.0)));
                     crash_points::reach("claim");
                     // If the outcome is not written, the key counts as one that may have run after the next start.
-                    if let Some(ticket) = ticket.filter(|_| !taken) {
+                    if let Some(ticket) = ticket.filter(|_| !accepted) {
                         self.handle(Event::Unwritten { ticket });
                     }
                 }
                 Action::Reply(ticket, reply) => {
-                    self.gates.borrow_mut().remove(&ticket);
+                    self.attempt_checks.borrow_mut().remove(&ticket);
                     self.unsent.borrow_mut().remove(&ticket);
                     if let Some(client) = self.waiting_clients.borrow_mut().remove(&ticket) {
                         // Fails if the client has just left.
@@ -433,9 +442,10 @@
 
     /// A first request is forwarded: registers it under its claim, so that its attempts can be permitted.
     fn register_work(&self, ticket: Ticket) {
-        let (Some(takeover), Some(gate)) =
-            (&self.takeover, self.gates.borrow().get(&ticket).cloned())
-        else {
+        let (Some(takeover), Some(attempt_check)) = (
+            &self.takeover,
+            self.attempt_checks.borrow().get(&ticket).cloned(),
+        ) else {
             return;
         };
         let claimed = self.deduplicator.borrow().claims().and_then(|claims| {
@@ -444,7 +454,7 @@
                 .map(|(claim, customer)| (claim, claims.holders(customer)))
         });
         if let Some((claim, acceptors)) = claimed {
-            takeover.work_started(&gate, claim, acceptors);
+            takeover.work_started(&attempt_check, claim, acceptors);
         }
     }
 
@@ -459,7 +469,7 @@
                 .map(|customer| claims.holders(customer))
         });
         if let Some(holders) = holders {
-            takeover.granted(to, *claim, holders);
+            takeover.key_granted(to, *claim, holders);
         }
     }
 
@@ -493,7 +503,8 @@
             },
             LinkEvent::PeerChanged { member, state } => {
                 let peer = Member(member);
-                // Passed on from here, so that it stays in order with that incarnation's messages about its claims.
+                // Passed on from here instead of received by `Takeover` itself, so that it stays in order with that
+                // incarnation's messages about its claims.
                 if let Some(takeover) = &self.takeover {
                     takeover.on_peer_changed(member, &state);
                 }
@@ -554,7 +565,7 @@
         });
     }
 
-    fn work_taken_over(
+    fn takeover_ended(
         &self,
         id: WorkId,
         customer: Customer,
@@ -585,13 +596,13 @@
 async fn receive_link_events(
     stage: Weak<Idempotency>,
     mut events: mpsc::UnboundedReceiver<LinkEvent>,
-    superseded: mpsc::UnboundedSender<()>,
+    superseded_tx: mpsc::UnboundedSender<()>,
 ) {
     loop {
         let event = timeout(TICK_INTERVAL, events.recv()).await;
         let Some(stage) = stage.upgrade() else { return };
         match event {
-            Ok(Some(LinkEvent::Superseded)) => _ = superseded.send(()),
+            Ok(Some(LinkEvent::Superseded)) => _ = superseded_tx.send(()),
             Ok(Some(event)) => stage.on_link_event(event),
             Ok(None) => return,
             Err(_) => {}
@@ -607,8 +618,8 @@
     sweep: Option<SweepCursor>,
     /// The segment that the sweep writes to; all earlier ones are removed when it ends.
     segment: u64,
-    /// Size of the log after the last sweep, in bytes.
-    size_after_sweep: u64,
+    /// Size of the log after the last compaction, in bytes.
+    compacted_size: u64,
     /// A new segment was requested and is not there yet.
     rotating: bool,
 }
@@ -621,7 +632,7 @@
         self.rotating = false;
         match result {
             Ok(segment) => (self.sweep, self.segment) = (Some(SweepCursor::default()), *segment),
-            // Retried at the next check of the size; nothing is lost by a log that is too long.
+            // Retried at the next check of the size. Until then the log only grows; nothing is lost.
             Err(problem) => eprintln!("emberpin: log: cannot begin a new segment: {problem}"),
         }
     }
@@ -634,11 +645,11 @@
             Some(Some(Some(next))) => self.sweep = Some(next),
             Some(Some(None)) => {
                 if log.remove_segments_before(self.segment) {
-                    (self.sweep, self.size_after_sweep) = (None, log.bytes());
+                    (self.sweep, self.compacted_size) = (None, log.bytes());
                 }
             }
             None => {
-                if !self.rotating && log.wants_rotation(self.size_after_sweep) {
+                if !self.rotating && log.wants_rotation(self.compacted_size) {
                     self.rotating = log.rotate();
                 }
             }
@@ -661,10 +672,10 @@
     let mut compaction = Compaction {
         sweep: Some(SweepCursor::default()),
         segment: first_segment,
-        size_after_sweep: 0,
+        compacted_size: 0,
         rotating: false,
     };
-    // A point in time: a pause that starts over at each event would never end under load.
+    // A point in time, not a delay: a delay that restarts at each event would never end under load.
     let mut due = Instant::now();
     loop {
         let event = tokio::select! {
@@ -687,8 +698,8 @@
 }
 
 impl Idempotency {
-    /// Rewrites the next entries of a sweep. Returns where the sweep continues, or `Some(None)` at its end; `None` if the
-    /// log did not accept the entries.
+    /// Rewrites the next entries of a sweep. Returns where the sweep continues, or `Some(None)` at its end; `None` if
+    /// the log did not accept the entries.
     fn sweep(&self, log: &KeyLog, from: SweepCursor) -> Option<Option<SweepCursor>> {
         if from == SweepCursor::default() {
             let quiet = self.quiet_until > boot_clock();
--- a/crates/emberpin-limiter/src/stages/takeover.rs
+++ b/crates/emberpin-limiter/src/stages/takeover.rs
@@ -33,14 +33,14 @@
 /// How often the failover core receives a tick.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The stage that owns the keys of requests that are taken over.
+/// The stage that owns the idempotency keys of requests that are taken over.
 pub trait Keys {
     /// The request that this claim was granted for will not be continued by any limiter. `may_have_run` says whether a
     /// server may have run it.
     fn claim_ended(&self, claim_id: ClaimId, may_have_run: bool);
 
     /// Another limiter's request was continued here and ended with this answer.
-    fn work_taken_over(
+    fn takeover_ended(
         &self,
         id: WorkId,
         customer: Customer,
@@ -50,10 +50,10 @@
     );
 }
 
-/// The gate of one keyed request. It allows no attempt until the key is granted, nor after another limiter has taken the
-/// request over.
-pub struct WorkGate {
-    host: Weak<Takeover>,
+/// The check of the attempts of one keyed request. It allows no attempt until the key is granted, nor after another
+/// limiter has taken the request over.
+pub struct TakeoverCheck {
+    takeover: Weak<Takeover>,
     /// The id of the request's work; set once the key is granted.
     id: OnceCell<WorkId>,
     /// The encoded request, with which another limiter could continue it.
@@ -61,12 +61,12 @@
     /// How long servers deduplicate repeats of it, in milliseconds; `None` if they do not.
     deduplication_window_ms: Option<f64>,
     expires: Instant,
-    /// It has completed, and [`WorkGate::completion_known`] still waits.
-    closing: Cell<bool>,
-    closed: Notify,
+    /// The request has completed, and its completion is not confirmed yet.
+    unconfirmed: Cell<bool>,
+    confirmed: Notify,
 }
 
-impl AttemptCheck for WorkGate {
+impl AttemptCheck for TakeoverCheck {
     fn allows<'a>(
         &'a self,
         attempt: u32,
@@ -77,21 +77,21 @@
     }
 }
 
-impl WorkGate {
+impl TakeoverCheck {
     async fn request_permission(
         &self,
         attempt: u32,
         Location { zone, cell }: Location,
         within: Duration,
     ) -> bool {
-        let (Some(host), Some(id), Some(payload)) = (
-            self.host.upgrade(),
+        let (Some(takeover), Some(id), Some(payload)) = (
+            self.takeover.upgrade(),
             self.id.get().copied(),
             self.payload.get(),
         ) else {
             return false;
         };
-        let left = self
+        let time_left = self
             .expires
             .saturating_duration_since(Instant::now())
             .as_secs_f64()
@@ -99,34 +99,38 @@
         let work = Work {
             payload: payload.clone(),
             deduplication_window_ms: self.deduplication_window_ms,
-            time_left_ms: left,
+            time_left_ms: time_left,
         };
         let group = ServerGroup {
             zone: u32::try_from(zone).unwrap_or(u32::MAX),
             cell,
         };
         let (reply_to, reply) = oneshot::channel();
-        host.pending_attempts
+        takeover
+            .pending_attempts
             .borrow_mut()
             .insert((id, attempt), reply_to);
         crash_points::reach("going");
-        host.handle(Event::AttemptRequested {
+        takeover.handle(Event::AttemptRequested {
             work_id: id,
             attempt,
             group,
             work,
         });
         let allowed = matches!(timeout(within, reply).await, Ok(Ok(true)));
-        host.pending_attempts.borrow_mut().remove(&(id, attempt));
+        takeover
+            .pending_attempts
+            .borrow_mut()
+            .remove(&(id, attempt));
         crash_points::reach(if allowed { "gone" } else { "withheld" });
         allowed
     }
 
-    /// Returns once the client may receive the outcome: a majority has acknowledged it, the completion time-out is over, or
-    /// this limiter no longer owns the work. Before that, another limiter might still continue the request.
-    pub async fn completion_known(&self) {
-        while self.closing.get() {
-            self.closed.notified().await;
+    /// Waits until the client may receive the outcome: a majority has acknowledged it, the completion time-out is over,
+    /// or this limiter no longer owns the work. Before that, another limiter might still continue the request.
+    pub async fn wait_for_confirmation(&self) {
+        while self.unconfirmed.get() {
+            self.confirmed.notified().await;
         }
     }
 
@@ -173,25 +177,26 @@
     pub terms: Terms,
     pub outgoing: UpstreamRequest,
     /// The attempt that the other limiter may have sent.
-    pub ran: PriorAttempt,
-    /// The time that is left for it.
+    pub prior_attempt: PriorAttempt,
+    /// The time left until its client's deadline.
     pub time_limit: Duration,
 }
 
 /// Passes a request to the driver for which no client of this limiter waits, and returns its answer.
 pub type Runner = Box<dyn Fn(TakenOverRequest) -> Pin<Box<dyn Future<Output = Answer>>>>;
 
-/// The failover core, and the requests, gates and members that it decides about.
+/// The failover core, and the requests, attempt checks and members that it decides about.
 pub struct Takeover {
     failover: RefCell<Failover>,
     link: Rc<Link>,
-    own: Weak<Takeover>,
+    /// A weak reference to itself, for attempt checks and tasks.
+    weak_self: Weak<Takeover>,
     keys: OnceCell<Weak<dyn Keys>>,
     runner: OnceCell<Runner>,
     /// Attempts that wait for permission.
     pending_attempts: RefCell<HashMap<(WorkId, u32), oneshot::Sender<bool>>>,
     /// Completed requests whose clients may not receive the outcome yet.
-    pending_completions: RefCell<HashMap<WorkId, Rc<WorkGate>>>,
+    unconfirmed_completions: RefCell<HashMap<WorkId, Rc<TakeoverCheck>>>,
     /// The latest known incarnation of each member.
     incarnations: RefCell<HashMap<u32, Incarnation>>,
     /// Members that closed their connection while they were healthy, and when each counts as ended.
@@ -213,10 +218,10 @@
         link: &Rc<Link>,
         member_number: u32,
     ) -> Rc<Takeover> {
-        let (members, ask_within, notice_timeout, dead_after) = match &config.link {
+        let (members, query_timeout, detection_time, dead_after) = match &config.link {
             Some((link, _)) => (
                 link.members.len(),
-                link.ask_within,
+                link.query_timeout,
                 link.suspect_after + link.heartbeat * 2,
                 link.dead_after,
             ),
@@ -225,8 +230,8 @@
         let failover_config = FailoverConfig {
             member: Member(member_number),
             incarnation: link.incarnation(),
-            reply_timeout: ask_within,
-            completion_timeout: notice_timeout,
+            reply_timeout: query_timeout,
+            completion_timeout: detection_time,
             retention: config.longest_deadline() + dead_after,
             max_entries: settings.entries,
             max_bytes: settings.bytes,
@@ -240,14 +245,14 @@
                 Idempotency::Keyed { window, .. } => Some(window),
                 Idempotency::Safe | Idempotency::Unsafe => None,
             });
-        let host = Rc::new_cyclic(|own| Takeover {
-            own: own.clone(),
+        let takeover = Rc::new_cyclic(|weak_self| Takeover {
+            weak_self: weak_self.clone(),
             failover: RefCell::new(Failover::new(failover_config, now())),
             link: link.clone(),
             keys: OnceCell::new(),
             runner: OnceCell::new(),
             pending_attempts: RefCell::default(),
-            pending_completions: RefCell::default(),
+            unconfirmed_completions: RefCell::default(),
             incarnations: RefCell::default(),
             disconnected: RefCell::default(),
             deduplication_windows_ms: windows.collect(),
@@ -256,10 +261,10 @@
             member_number,
         });
         spawn_local(receive_link_events(
-            Rc::downgrade(&host),
+            Rc::downgrade(&takeover),
             link.subscribe(TAKEOVER_MESSAGES),
         ));
-        host
+        takeover
     }
 
     /// Sets the stage that owns the keys. Called once, before the first request.
@@ -271,36 +276,37 @@
         self.keys.get().and_then(Weak::upgrade)
     }
 
-    /// Sets the function that passes requests that are taken over to the driver.
-    pub fn run_with(&self, runner: Runner) {
+    /// Sets the function that passes requests that are taken over to the driver. Called once, at the start.
+    pub fn set_runner(&self, runner: Runner) {
         _ = self.runner.set(runner);
     }
 
-    /// Creates the gate of a keyed request that has just arrived.
-    pub fn gate(&self, class: ClassId, expires: Instant) -> Rc<WorkGate> {
+    /// Creates the attempt check of a keyed request that has just arrived.
+    pub fn new_attempt_check(&self, class: ClassId, expires: Instant) -> Rc<TakeoverCheck> {
         let (id, payload) = (OnceCell::new(), OnceCell::new());
         let deduplication_window_ms = self
             .deduplication_windows_ms
             .get(class.0)
             .copied()
             .flatten();
-        let (host, closing, closed) = (self.own.clone(), Cell::new(false), Notify::new());
-        Rc::new(WorkGate {
-            host,
+        let (takeover, unconfirmed, confirmed) =
+            (self.weak_self.clone(), Cell::new(false), Notify::new());
+        Rc::new(TakeoverCheck {
+            takeover,
             id,
             payload,
             deduplication_window_ms,
             expires,
-            closing,
-            closed,
+            unconfirmed,
+            confirmed,
         })
     }
 
-    /// Encodes a request into its gate, for the limiters that could continue it. Does nothing for a request whose body is
-    /// still uploaded.
+    /// Stores the encoded request in its attempt check, for the limiters that could continue it. Does nothing for a
+    /// request whose body is still being uploaded.
     pub fn set_payload(
         &self,
-        gate: &WorkGate,
+        check: &TakeoverCheck,
         outgoing: &UpstreamRequest,
         terms: &Terms,
         key: Key,
@@ -328,18 +334,18 @@
             fingerprint,
         };
         if let Ok(bytes) = postcard::to_allocvec(&encoded) {
-            _ = gate.payload.set(bytes);
+            _ = check.payload.set(bytes);
         }
     }
 
     /// A request of this limiter has been granted its key.
-    pub fn work_started(&self, gate: &WorkGate, claim: Claim, acceptors: Vec<Holder>) {
+    pub fn work_started(&self, check: &TakeoverCheck, claim: Claim, acceptors: Vec<Holder>) {
         let id = WorkId {
             claimant: Member(self.member_number),
             incarnation: self.link.incarnation(),
             claim_number: claim.0,
         };
-        if gate.id.set(id).is_ok() {
+        if check.id.set(id).is_ok() {
             self.handle(Event::WorkStarted {
                 work_id: id,
                 acceptors: members(acceptors),
@@ -353,14 +359,16 @@
     }
 
     /// The outcome of a request of this limiter was sent to the holders of its key. If it was served,
-    /// [`WorkGate::completion_known`] waits until its client may receive the outcome.
-    pub fn request_completed(&self, gate: &Rc<WorkGate>, served: bool) {
-        let Some(id) = gate.work() else { return };
+    /// [`TakeoverCheck::wait_for_confirmation`] waits until its client may receive the outcome.
+    pub fn request_completed(&self, check: &Rc<TakeoverCheck>, served: bool) {
+        let Some(id) = check.work() else {
+            return;
+        };
         if served {
-            gate.closing.set(true);
-            self.pending_completions
+            check.unconfirmed.set(true);
+            self.unconfirmed_completions
                 .borrow_mut()
-                .insert(id, gate.clone());
+                .insert(id, check.clone());
         }
         self.handle(Event::WorkCompleted(id));
     }
@@ -371,7 +379,7 @@
     }
 
     /// This limiter has granted a key to a claim of another.
-    pub fn granted(&self, to: Holder, claim: Claim, acceptors: Vec<Holder>) {
+    pub fn key_granted(&self, to: Holder, claim: Claim, acceptors: Vec<Holder>) {
         if let Some(id) = self.work_of(to, claim) {
             self.handle(Event::KeyGranted {
                 work_id: id,
@@ -380,8 +388,8 @@
         }
     }
 
-    /// The claimant reports the outcome of its claim. Returns false if the report no longer applies, as another limiter
-    /// continues the request.
+    /// The claimant reports the outcome of its claim. Returns false if the report no longer applies, because another
+    /// limiter continues the request.
     pub fn claim_settled(&self, claimant: Holder, claim: Claim, served: bool) -> bool {
         let Some(id) = self.work_of(claimant, claim) else {
             return true;
@@ -418,9 +426,9 @@
                 Action::AllowAttempt { work_id, attempt } => self.resolve(work_id, attempt, true),
                 Action::DenyAttempt { work_id, attempt } => self.resolve(work_id, attempt, false),
                 Action::CompletionConfirmed(id) => {
-                    if let Some(gate) = self.pending_completions.borrow_mut().remove(&id) {
-                        gate.closing.set(false);
-                        gate.closed.notify_one();
+                    if let Some(check) = self.unconfirmed_completions.borrow_mut().remove(&id) {
+                        check.unconfirmed.set(false);
+                        check.confirmed.notify_one();
                     }
                 }
                 Action::TakeOver {
@@ -429,16 +437,20 @@
                     first_attempt,
                 } => self.take_over(work_id, work, first_attempt),
                 Action::Abandoned { work_id, verdict } => {
-                    let ran = verdict == Verdict::MayHaveRun;
-                    let what = if ran { "may have run" } else { "was not sent" };
+                    let may_have_run = verdict == Verdict::MayHaveRun;
+                    let fate = if may_have_run {
+                        "may have run"
+                    } else {
+                        "was not sent"
+                    };
                     eprintln!(
-                        "emberpin: takeover: request of limiter {} {what}",
+                        "emberpin: takeover: abandoned a request of limiter {}: it {fate}",
                         work_id.claimant.0
                     );
                     if let Some(keys) = self.keys() {
                         keys.claim_ended(
                             (Holder(work_id.claimant.0), Claim(work_id.claim_number)),
-                            ran,
+                            may_have_run,
                         );
                     }
                 }
@@ -472,14 +484,14 @@
         let Some(runner) = self.runner.get() else {
             return self.handle(Event::TakeoverFailed(id));
         };
-        let (running, host) = (runner(taken), self.own.clone());
+        let (running, takeover) = (runner(taken), self.weak_self.clone());
         spawn_local(async move {
             let answer = running.await;
             crash_points::reach("taken-answer");
-            let Some(keys) = host.upgrade().and_then(|host| host.keys()) else {
+            let Some(keys) = takeover.upgrade().and_then(|takeover| takeover.keys()) else {
                 return;
             };
-            keys.work_taken_over(id, customer, key, fingerprint, answer);
+            keys.takeover_ended(id, customer, key, fingerprint, answer);
         });
     }
 
@@ -507,14 +519,14 @@
         let time_limit = Duration::try_from_secs_f64(work.time_left_ms / 1000.0)
             .ok()
             .filter(|_| valid)?;
-        let gate = WorkGate {
-            host: self.own.clone(),
+        let check = TakeoverCheck {
+            takeover: self.weak_self.clone(),
             id: OnceCell::from(id),
             deduplication_window_ms: work.deduplication_window_ms,
             expires: Instant::now() + time_limit,
             payload: OnceCell::from(work.payload),
-            closing: Cell::new(false),
-            closed: Notify::new(),
+            unconfirmed: Cell::new(false),
+            confirmed: Notify::new(),
         };
         let taken = TakenOverRequest {
             terms: Terms {
@@ -532,10 +544,10 @@
                 body: RequestBody::Buffered(encoded.body.into()),
                 may_stream: false,
                 max_idle_time: None,
-                attempt_check: Some(Rc::new(gate)),
+                attempt_check: Some(Rc::new(check)),
                 withdrawn: Default::default(),
             },
-            ran: PriorAttempt {
+            prior_attempt: PriorAttempt {
                 age: first_attempt.age_ms,
                 location: Location {
                     zone: first_attempt.group.zone as usize,
@@ -619,15 +631,20 @@
     holders.into_iter().map(|holder| Member(holder.0)).collect()
 }
 
-/// Handles the link's messages about work, and ticks. Ends when the host is dropped.
-async fn receive_link_events(host: Weak<Takeover>, mut events: mpsc::UnboundedReceiver<LinkEvent>) {
+/// Handles the link's messages about work, and ticks. Ends when the [`Takeover`] is dropped.
+async fn receive_link_events(
+    takeover: Weak<Takeover>,
+    mut events: mpsc::UnboundedReceiver<LinkEvent>,
+) {
     loop {
         let event = timeout(TICK_INTERVAL, events.recv()).await;
-        let Some(host) = host.upgrade() else { return };
+        let Some(takeover) = takeover.upgrade() else {
+            return;
+        };
         match event {
             Ok(Some(LinkEvent::MessageReceived { from, body })) => {
                 match postcard::from_bytes(&body) {
-                    Ok(message) => host.handle(Event::MessageReceived {
+                    Ok(message) => takeover.handle(Event::MessageReceived {
                         from: Member(from),
                         message,
                     }),
@@ -636,10 +653,10 @@
                     }
                 }
             }
-            // The idempotency stage passes on the changes of members, see `on_peer_changed`.
+            // Changes of members arrive through the idempotency stage, see `on_peer_changed`.
             Ok(Some(LinkEvent::PeerChanged { .. } | LinkEvent::Superseded)) | Err(_) => {}
             Ok(None) => return,
         }
-        host.tick();
+        takeover.tick();
     }
 }
--- a/crates/emberpin-limiter/src/upstream/discovery.rs
+++ b/crates/emberpin-limiter/src/upstream/discovery.rs
@@ -217,7 +217,7 @@
                         ..list
                     };
                     *since = Some(list.revision);
-                    if inputs.send(Input::Listing(list)).await.is_err() {
+                    if inputs.send(Input::EndpointList(list)).await.is_err() {
                         return;
                     }
                 }
--- a/crates/emberpin-limiter/src/upstream/driver.rs
+++ b/crates/emberpin-limiter/src/upstream/driver.rs
@@ -134,7 +134,7 @@
                 input = inputs.recv() => match input {
                     Some(input) => {
                         self.on_input(input);
-                        self.carry_out_other_actions();
+                        self.carry_out_owner_actions();
                     }
                     None => return,
                 },
@@ -144,7 +144,7 @@
 
     fn on_timer(&mut self) {
         self.engine.fire_timers();
-        self.carry_out_other_actions();
+        self.carry_out_owner_actions();
         self.publish_pool_size();
     }
 
@@ -259,7 +259,7 @@
                 elapsed: ended.elapsed,
                 load: ended.load,
             }),
-            Input::Listing(list) => self.on_list(list),
+            Input::EndpointList(list) => self.on_list(list),
             Input::Peer { from, bytes } => {
                 self.list_calls.on_peer_message(from, &bytes);
                 self.handle_event(Event::PeerMessage { from, bytes });
@@ -270,13 +270,13 @@
     /// Passes an event to the decision module, and carries out its actions.
     fn handle_event(&mut self, event: Event) {
         self.engine.handle_event(event);
-        self.carry_out_other_actions();
+        self.carry_out_owner_actions();
     }
 
     /// Carries out the decision module's actions that concern no request.
-    fn carry_out_other_actions(&mut self) {
+    fn carry_out_owner_actions(&mut self) {
         self.engine.sent_attempts.clear();
-        for action in std::mem::take(&mut self.engine.other_actions) {
+        for action in std::mem::take(&mut self.engine.owner_actions) {
             match action {
                 Action::SendToPeer { to, bytes } => {
                     if let Some(peers) = &self.peers {
@@ -453,7 +453,7 @@
     };
     eprintln!("emberpin: state taken over from the previous process: {what}");
     let list = EndpointList {
-        revision: state.rev,
+        revision: state.revision,
         full: true,
         targets: targets.into_iter().map(Entry::Target).collect(),
         service_generation: 0,
--- a/crates/emberpin-limiter/src/upstream/engine/mod.rs
+++ b/crates/emberpin-limiter/src/upstream/engine/mod.rs
@@ -50,7 +50,7 @@
     /// The servers that new attempts may go to.
     pub upstreams: BTreeMap<ServerId, Rc<Upstream>>,
     /// Actions that the engine does not carry out itself: its owner does so after each event.
-    pub other_actions: Vec<Action>,
+    pub owner_actions: Vec<Action>,
     /// Attempts that were sent since the owner last cleared this list.
     pub sent_attempts: Vec<SentAttempt>,
     /// What happens to an attempt that exceeds the time that the decision module gave it.
@@ -75,7 +75,7 @@
             gateway,
             clock,
             upstreams: BTreeMap::new(),
-            other_actions: Vec::new(),
+            owner_actions: Vec::new(),
             sent_attempts: Vec::new(),
             overdue_attempts: OverdueAttempts::End,
             timer_grid: None,
@@ -122,7 +122,7 @@
                 first: admitted.set_first,
                 size: admitted.set_size,
             },
-            prior_attempt: admitted.ran,
+            prior_attempt: admitted.prior_attempt,
         });
         self.requests
             .insert(admitted.id, InFlightRequest::new(admitted));
@@ -269,7 +269,7 @@
                 });
             }
             Action::Log(text) => eprintln!("{text}"),
-            other => self.other_actions.push(other),
+            other => self.owner_actions.push(other),
         }
     }
 
--- a/crates/emberpin-limiter/src/upstream/engine/request_table.rs
+++ b/crates/emberpin-limiter/src/upstream/engine/request_table.rs
@@ -39,7 +39,7 @@
             reply_to: Some(admitted.reply_to),
             attempts: 0,
             running: None,
-            may_have_run: admitted.ran.is_some(),
+            may_have_run: admitted.prior_attempt.is_some(),
             error_response: None,
         }
     }
--- a/crates/emberpin-limiter/src/upstream/peer_lists.rs
+++ b/crates/emberpin-limiter/src/upstream/peer_lists.rs
@@ -308,7 +308,7 @@
                 };
                 // If the driver's queue is full, the list is dropped. `protocol` then requests it again from a
                 // neighbour.
-                _ = self.inputs.try_send(Input::Listing(list));
+                _ = self.inputs.try_send(Input::EndpointList(list));
             }
             Err(e) => {
                 eprintln!(
--- a/crates/emberpin-limiter/src/upstream/server/exchange.rs
+++ b/crates/emberpin-limiter/src/upstream/server/exchange.rs
@@ -137,7 +137,7 @@
     ) -> Result<ServerConnection, Exchange> {
         let max_idle_time = outgoing.and_then(|outgoing| outgoing.max_idle_time);
         let connecting = timeout_at(
-            started + timeout.min(self.pool.limits.connect),
+            started + timeout.min(self.pool.limits.connect_timeout),
             self.connect(max_idle_time),
         );
         match connecting.await {
--- a/crates/emberpin-limiter/src/upstream/server/pool.rs
+++ b/crates/emberpin-limiter/src/upstream/server/pool.rs
@@ -38,16 +38,16 @@
 #[derive(Clone, Debug)]
 pub struct PoolLimits {
     /// A connection must be established within this time.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// An idle connection is closed after this time, or earlier where the server has stated a shorter time.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Maximum number of idle connections to one server.
     pub max_idle_per_server: usize,
     /// Maximum number of connections to all servers.
     pub sockets: usize,
     /// A connection is closed once the server's machine has acknowledged nothing for this long; `None` for the
     /// operating system's own limit.
-    pub unacknowledged: Option<Duration>,
+    pub unacknowledged_timeout: Option<Duration>,
     /// Maximum number of bytes of a response that are buffered. A response that breaks off within them may be retried.
     pub buffered_response_bytes: usize,
 }
@@ -154,7 +154,9 @@
         let lifetime = idle
             .connection
             .stated_lifetime
-            .map_or(self.limits.idle, |stated| stated.min(self.limits.idle));
+            .map_or(self.limits.idle_timeout, |stated| {
+                stated.min(self.limits.idle_timeout)
+            });
         idle_time < lifetime && self.lifetimes.borrow().is_usable(now, idle_time)
     }
 
@@ -188,7 +190,7 @@
             }
         }
         let socket = self.acquire_socket().ok_or(ConnectError::NoSocket)?;
-        ServerConnection::open(address, self.limits.unacknowledged, socket).await
+        ServerConnection::open(address, self.limits.unacknowledged_timeout, socket).await
     }
 
     /// Takes the most recently used connection, unless it has expired or been idle for `max_idle_time`.
--- a/crates/emberpin-limiter/src/upstream/server/upstream.rs
+++ b/crates/emberpin-limiter/src/upstream/server/upstream.rs
@@ -32,11 +32,11 @@
 impl Upstream {
     /// Creates the upstream of a server, for requests that do not name its incarnation.
     pub fn new(server: ServerInstance, pool: Rc<Pool>) -> Rc<Upstream> {
-        Upstream::of_instance(server, None, pool)
+        Upstream::with_instance(server, None, pool)
     }
 
     /// Creates the upstream of an incarnation of a server; requests name it by `instance`, if it is set.
-    pub fn of_instance(
+    pub fn with_instance(
         server: ServerInstance,
         instance: Option<HeaderValue>,
         pool: Rc<Pool>,
@@ -100,7 +100,7 @@
         request
             .headers_mut()
             .insert(HOST, HeaderValue::from_static("service.internal"));
-        let limit = self.pool.limits.connect;
+        let limit = self.pool.limits.connect_timeout;
         let exchange = self.exchange(request, None, started, limit).await;
         self.attempt_end(started, exchange)
     }
@@ -165,7 +165,7 @@
     /// Whether the server accepts connections now; the one opened is kept for the next request. Also true if no socket
     /// is free for the check.
     pub async fn accepts_connections(&self) -> bool {
-        match timeout(self.pool.limits.connect, self.connect(None)).await {
+        match timeout(self.pool.limits.connect_timeout, self.connect(None)).await {
             Ok(Ok(connection)) => {
                 self.pool.keep(self.key, connection);
                 true
--- a/crates/emberpin-limiter/tests/bad_clients.rs
+++ b/crates/emberpin-limiter/tests/bad_clients.rs
@@ -51,8 +51,8 @@
     assert!(server.is_quiet());
 }
 
-/// A request that takes two seconds to arrive is served, also when slots are scarce because other clients have stopped half
-/// way.
+/// A request that takes two seconds to arrive is served, also when slots are scarce because other clients have stopped
+/// half way.
 #[test]
 fn a_slow_request_is_served_among_stalled_ones() {
     let server = Listener::start();
@@ -176,8 +176,8 @@
     assert!(server.is_quiet());
 }
 
-/// Guards against request smuggling: a `Content-Length` beside chunked encoding may hide a second request in the body of
-/// the first. Neither may reach a server.
+/// Guards against request smuggling: a `Content-Length` beside chunked encoding may hide a second request in the body
+/// of the first. Neither may reach a server.
 #[test]
 fn smuggled_requests_do_not_reach_a_server() {
     let server = Listener::start();
@@ -202,8 +202,8 @@
     assert!(server.is_quiet());
 }
 
-/// A second request with the id of one in flight is rejected; the first continues, and the id is free again once that is
-/// answered.
+/// A second request with the id of one in flight is rejected; the first continues, and the id is free again once that
+/// is answered.
 #[test]
 fn an_id_in_flight_is_rejected() {
     let server = Listener::start();
--- a/crates/emberpin-limiter/tests/bodies.rs
+++ b/crates/emberpin-limiter/tests/bodies.rs
@@ -306,8 +306,8 @@
             .expect("sent");
         assert_eq!(Message::read(&client).expect("an answer").status(), 200);
     }
-    // The server closes the connection in the middle of the upload: nothing has run, and the body cannot be sent again. The
-    // response arrives although the client has not sent the whole body.
+    // The server closes the connection in the middle of the upload: nothing has run, and the body cannot be sent again.
+    // The response arrives although the client has not sent the whole body.
     let client = limiter.connect();
     let mut to = client.try_clone().expect("cloned");
     to.write_all(upload("spent", "Content-Length: 3000000").as_bytes())
--- a/crates/emberpin-limiter/tests/common/peer.rs
+++ b/crates/emberpin-limiter/tests/common/peer.rs
@@ -1,5 +1,5 @@
-//! A peer of a limiter, simulated by the test: runs the link's protocol on plain sockets, and passes received messages to
-//! the test.
+//! A peer of a limiter, simulated by the test: runs the link's protocol on plain sockets, and passes received messages
+//! to the test.
 #![allow(dead_code, missing_docs, reason = "each test file uses a part of it")]
 
 use emberpin_peering::{
--- a/crates/emberpin-limiter/tests/idempotency.rs
+++ b/crates/emberpin-limiter/tests/idempotency.rs
@@ -139,8 +139,8 @@
 #[test]
 fn a_key_that_may_have_run_is_reported_and_never_sent_again() {
     let site = Site::start("quiet_s = 0");
-    // Neither the server's error nor its later silence proves that nothing ran. The module retries within the same server
-    // group, and then fails the request.
+    // Neither the server's error nor its later silence proves that nothing ran. The module retries within the same
+    // server group, and then fails the request.
     let first = site.limiter.ask(&keyed("1", "key", "image", 0.4));
     assert_eq!(
         site.response_with_server_status(&first, "500 Error", "")
--- a/crates/emberpin-limiter/tests/keys_log.rs
+++ b/crates/emberpin-limiter/tests/keys_log.rs
@@ -1,5 +1,5 @@
-//! Keys that outlive a limiter's process because of its log, over loopback sockets: kills between single steps, and lost
-//! or restored logs.
+//! Keys that outlive a limiter's process because of its log, over loopback sockets: kills between single steps, and
+//! lost or restored logs.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
@@ -80,8 +80,8 @@
         self.limiter.run_as(command);
     }
 
-    /// Sends a request with this key, while the server serves every attempt. Returns the response, or `None` if the limiter
-    /// crashed meanwhile.
+    /// Sends a request with this key, while the server serves every attempt. Returns the response, or `None` if the
+    /// limiter crashed meanwhile.
     fn ask(&mut self, key: &str) -> Option<Message> {
         self.next += 1;
         let text = request("submit", &format!("{}", self.next), "wide", 30.0);
--- a/crates/emberpin-limiter/tests/limiter.rs
+++ b/crates/emberpin-limiter/tests/limiter.rs
@@ -285,8 +285,8 @@
     }
 }
 
-/// A request that may have run fails with 502, and is neither retried nor rejected: after an error response, and after a
-/// connection that breaks once the request has arrived completely. A 503 without the header that declines it does not
+/// A request that may have run fails with 502, and is neither retried nor rejected: after an error response, and after
+/// a connection that breaks once the request has arrived completely. A 503 without the header that declines it does not
 /// prove that nothing ran.
 #[test]
 fn a_request_that_may_have_run_fails_and_is_not_retried() {
@@ -345,8 +345,8 @@
     assert!(wait > 0.0 && wait <= 1.0, "{wait}");
 }
 
-/// A server may close a pooled connection at any time. The limiter must notice that before it writes the next request, or
-/// the request would count as one that may have run.
+/// A server may close a pooled connection at any time. The limiter must notice that before it writes the next request,
+/// or the request would count as one that may have run.
 #[test]
 fn a_pooled_connection_that_the_server_closed_is_not_used() {
     let server = Listener::start();
@@ -363,8 +363,8 @@
     }
 }
 
-/// A request that is written to a connection after the server's idle time-out is answered by a reset, so the limiter must
-/// close idle connections earlier.
+/// A request that is written to a connection after the server's idle time-out is answered by a reset, so the limiter
+/// must close idle connections earlier.
 #[test]
 fn idle_connections_are_closed_before_the_servers_idle_timeout() {
     let server = Listener::start();
@@ -383,8 +383,9 @@
     assert_ne!(ports[0], ports[1]);
 }
 
-/// Servers, or proxies in front of them, may drop idle connections long before the idle time-out in the settings, and reset
-/// them only when the next request arrives, which then may have run. The limiter must learn at what age that happens.
+/// Servers, or proxies in front of them, may drop idle connections long before the idle time-out in the settings, and
+/// reset them only when the next request arrives, which then may have run. The limiter must learn at what age that
+/// happens.
 #[test]
 fn an_age_at_which_idle_connections_are_reset_is_learned_and_avoided() {
     let server = Listener::start();
@@ -423,8 +424,8 @@
     arrived.wait_until_closed();
 }
 
-/// The response arrives within the client's deadline and the attempt's connection is closed. The request fails, as it may
-/// have run.
+/// The response arrives within the client's deadline and the attempt's connection is closed. The request fails, as it
+/// may have run.
 #[test]
 fn a_request_to_a_silent_server_fails_within_the_deadline() {
     let server = Listener::start();
@@ -474,8 +475,8 @@
             target("s-2", new.address, "ready"),
         ],
     );
-    // Until the update is applied, requests may still go to the old server; from the first one at the new server on, none
-    // may.
+    // Until the update is applied, requests may still go to the old server; from the first one at the new server on,
+    // none may.
     let started = Instant::now();
     loop {
         assert!(started.elapsed() < LONG, "the update was not applied");
@@ -496,8 +497,8 @@
     assert!(old.is_quiet());
 }
 
-/// If a server is reported as draining while a connection to it is still being established, the request that waits for the
-/// connection goes to another server.
+/// If a server is reported as draining while a connection to it is still being established, the request that waits for
+/// the connection goes to another server.
 #[test]
 fn a_request_that_waits_for_a_connection_leaves_a_draining_server() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -554,7 +555,8 @@
     assert!(slow.is_quiet());
 }
 
-/// After a malformed line or a closed connection, the limiter opens a new watch from the last revision that it could read.
+/// After a malformed line or a closed connection, the limiter opens a new watch from the last revision that it could
+/// read.
 #[test]
 fn a_malformed_or_closed_watch_is_resumed() {
     let server = Listener::start();
@@ -574,8 +576,9 @@
     assert_eq!(Message::read(&client).expect("an answer").status(), 200);
 }
 
-/// SIGHUP moves the watch to the discovery address that the file now names: at once, and more than once. The limiter fetches
-/// the complete list there, and uses the old one until it has arrived. A file that cannot be read changes nothing.
+/// SIGHUP moves the watch to the discovery address that the file now names: at once, and more than once. The limiter
+/// fetches the complete list there, and uses the old one until it has arrived. A file that cannot be read changes
+/// nothing.
 #[test]
 fn sighup_moves_the_watch_and_keeps_the_known_servers() {
     let servers = [Listener::start(), Listener::start()];
@@ -637,8 +640,8 @@
     assert!(limiter.wait().success());
 }
 
-/// Gossip identifies customers by 32 bits that are the same at every limiter, and carries an incarnation that grows with
-/// each start. Malformed datagrams are ignored.
+/// Gossip identifies customers by 32 bits that are the same at every limiter, and carries an incarnation that grows
+/// with each start. Malformed datagrams are ignored.
 #[test]
 fn gossip_carries_customers_and_increasing_incarnations() {
     let server = Listener::start();
@@ -714,8 +717,8 @@
     assert!(server.is_quiet());
 }
 
-/// Connections of a killed limiter stay in the operating system for a while. Its successor must be able to bind the address
-/// without waiting for them.
+/// Connections of a killed limiter stay in the operating system for a while. Its successor must be able to bind the
+/// address without waiting for them.
 #[test]
 fn the_address_is_bound_again_at_once_after_a_kill() {
     let server = Listener::start();
--- a/crates/emberpin-limiter/tests/link.rs
+++ b/crates/emberpin-limiter/tests/link.rs
@@ -109,12 +109,13 @@
         site
     }
 
-    /// Sends a request with this key to limiter `n`, while the server serves every attempt. Returns the response and the
-    /// number of attempts.
+    /// Sends a request with this key to limiter `n`, while the server serves every attempt. Returns the response and
+    /// the number of attempts.
     fn ask(&mut self, n: usize, key: &str) -> (Message, u32) {
         self.next += 1;
         let id = format!("{}", self.next);
-        // A customer of the plan `wide`, whose rate the test does not reach; `spread=3` lets all three limiters admit it.
+        // A customer of the plan `wide`, whose rate the test does not reach; `spread=3` lets all three limiters admit
+        // it.
         let text = request("submit", &id, "wide", 30.0).replace("spread=1", "spread=3");
         let text = text.replace(
             &format!("Idempotency-Key: k-{id}"),
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Repeats a request with this key at limiter `n` until it is served, which needs a majority of limiters that grant the
-    /// key. Returns the number of attempts that the server received.
+    /// Repeats a request with this key at limiter `n` until it is served, which needs a majority of limiters that grant
+    /// the key. Returns the number of attempts that the server received.
     fn ask_until_served(&mut self, n: usize, key: &str) -> u32 {
         let started = Instant::now();
         let mut all_attempts = 0;
@@ -311,7 +312,8 @@
     }
     let text = |id: u32| {
         let id = format!("{id}");
-        // A customer of the plan `wide`, whose rate the test does not reach; `spread=3` lets all three limiters admit it.
+        // A customer of the plan `wide`, whose rate the test does not reach; `spread=3` lets all three limiters admit
+        // it.
         let text = request("submit", &id, "wide", 30.0).replace("spread=1", "spread=3");
         text.replace(&format!("Idempotency-Key: k-{id}"), "Idempotency-Key: key")
     };
--- a/crates/emberpin-limiter/tests/recorded_disk.rs
+++ b/crates/emberpin-limiter/tests/recorded_disk.rs
@@ -1,5 +1,5 @@
-//! Compatibility with files that an earlier build wrote: the records of keys in the log, and the snapshot of the endpoint
-//! list. A limiter of the present build is started on them.
+//! Compatibility with files that an earlier build wrote: the records of keys in the log, and the snapshot of the
+//! endpoint list. A limiter of the present build is started on them.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "../../emberpin-peering/tests/common/recording.rs"]
--- a/crates/emberpin-limiter/tests/recorded_peers.rs
+++ b/crates/emberpin-limiter/tests/recorded_peers.rs
@@ -25,7 +25,7 @@
 /// Kinds of messages between limiters.
 const KEY_MESSAGES: u16 = 1;
 const LIST_MESSAGES: u16 = 2;
-const WORK_MESSAGES: u16 = 3;
+const TAKEOVER_MESSAGES: u16 = 3;
 
 /// An answer as a peer receives it; the limiter's own type is private.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Lets the peers grant and accept everything until this client has an answer and a message of each of [`NAMES`] was
-    /// received. Returns the first message of each name.
+    /// Lets the peers grant and accept everything until this client has an answer and a message of each of [`NAMES`]
+    /// was received. Returns the first message of each name.
     fn serve_as_peers(&self, client: &TcpStream) -> BTreeMap<&'static str, Vec<u8>> {
         let (started, mut first) = (Instant::now(), BTreeMap::new());
         while first.len() < NAMES.len() || !has_answer(client) {
@@ -181,7 +181,7 @@
             _ => None,
         };
     }
-    match (message.kind == WORK_MESSAGES).then(|| of_work(&message.body))? {
+    match (message.kind == TAKEOVER_MESSAGES).then(|| of_work(&message.body))? {
         OfWork::Accept {
             work_id: id,
             ballot,
@@ -226,7 +226,7 @@
 }
 
 fn accept_request(message: &ReceivedMessage) -> Option<(WorkId, Ballot)> {
-    match (message.kind == WORK_MESSAGES).then(|| of_work(&message.body))? {
+    match (message.kind == TAKEOVER_MESSAGES).then(|| of_work(&message.body))? {
         OfWork::Accept {
             work_id: id,
             ballot,
@@ -432,7 +432,7 @@
     let (work, first_attempt) = encoded_work(&recorded("going"));
     let acceptor_incarnation = site.peers[0].limiter_incarnation();
     site.peers[0].send(
-        WORK_MESSAGES,
+        TAKEOVER_MESSAGES,
         encode(&OfWork::Accept {
             work_id: id,
             ballot,
@@ -450,7 +450,7 @@
         .then_some(())
     });
     site.peers[0].stop();
-    let prepared = |message: &ReceivedMessage| match (message.kind == WORK_MESSAGES)
+    let prepared = |message: &ReceivedMessage| match (message.kind == TAKEOVER_MESSAGES)
         .then(|| of_work(&message.body))?
     {
         OfWork::Prepare {
@@ -462,7 +462,7 @@
     };
     let (_, higher) = site.next(1, prepared);
     site.peers[1].send(
-        WORK_MESSAGES,
+        TAKEOVER_MESSAGES,
         encode(&OfWork::Promise {
             work_id: id,
             ballot: higher,
@@ -474,7 +474,7 @@
         accept_request(message).filter(|(of, _)| *of == id)
     });
     site.peers[1].send(
-        WORK_MESSAGES,
+        TAKEOVER_MESSAGES,
         encode(&OfWork::Accepted {
             work_id: id,
             ballot: accepted_ballot,
--- a/crates/emberpin-limiter/tests/recorded_upgrade.rs
+++ b/crates/emberpin-limiter/tests/recorded_upgrade.rs
@@ -27,7 +27,7 @@
 #[derive(Serialize, Deserialize)]
 struct State {
     clock: f64,
-    rev: u64,
+    revision: u64,
     targets: Vec<u8>,
     names: Vec<String>,
     gateway: Handover,
@@ -151,7 +151,8 @@
         assert_eq!(Message::read(&client).expect("an answer").status(), 200);
     }
 
-    /// Connects to a running process as its successor; returns the connection, and the first frame, which has the state.
+    /// Connects to a running process as its successor; returns the connection, and the first frame, which has the
+    /// state.
     fn connect_as_successor(&self) -> (UnixStream, Vec<u8>) {
         let mut stream = UnixStream::connect(self.handover_path()).expect("connects");
         stream.set_read_timeout(Some(LONG)).expect("set");
@@ -206,7 +207,8 @@
     }
 }
 
-/// Produces the state of a process that has served two requests and whose second server an operator took out of service.
+/// Produces the state of a process that has served two requests and whose second server an operator took out of
+/// service.
 fn write_state() -> Vec<u8> {
     let mut site = Site::prepare();
     site.start();
@@ -260,7 +262,7 @@
     };
     let state: State = postcard::from_bytes(&body).expect("a state");
     assert_eq!(
-        (state.rev, state.names.as_slice()),
+        (state.revision, state.names.as_slice()),
         (41, ["s-1".to_string(), "s-2".to_string()].as_slice())
     );
     assert_eq!(
--- a/crates/emberpin-limiter/tests/upgrade.rs
+++ b/crates/emberpin-limiter/tests/upgrade.rs
@@ -1,5 +1,5 @@
-//! Upgrades over loopback: two processes of one limiter share a listening socket, and the old process hands its state over
-//! to the new one.
+//! Upgrades over loopback: two processes of one limiter share a listening socket, and the old process hands its state
+//! over to the new one.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
@@ -127,8 +127,8 @@
             .ask(&request(class, id, plan, 30.0).replace("00000001b4d65521", account))
     }
 
-    /// Makes the first process observe that the whole group starts together, as it then begins with full hard bursts. Uses
-    /// one unit of the burst.
+    /// Makes the first process observe that the whole group starts together, as it then begins with full hard bursts.
+    /// Uses one unit of the burst.
     fn fill_hard_bursts(&self, server: &Listener) {
         let at = self.limiter.config["peer_listen"]
             .as_str()
@@ -467,8 +467,8 @@
     drop(new);
 }
 
-/// 120 clients of the old process reconnect to the new one, which must have slots for all of them at once: more than half
-/// of all slots.
+/// 120 clients of the old process reconnect to the new one, which must have slots for all of them at once: more than
+/// half of all slots.
 #[test]
 fn the_old_processs_clients_find_slots_at_the_new_one() {
     let server = Listener::start();
--- a/crates/emberpin-proxy/src/connection_pool.rs
+++ b/crates/emberpin-proxy/src/connection_pool.rs
@@ -55,11 +55,11 @@
     socket_budget: &Rc<SocketBudget>,
 ) -> Rc<Pool> {
     let limits = PoolLimits {
-        connect: CONNECT_TIMEOUT,
-        idle: IDLE_TIMEOUT,
+        connect_timeout: CONNECT_TIMEOUT,
+        idle_timeout: IDLE_TIMEOUT,
         max_idle_per_server: MAX_IDLE_PER_SERVER,
         sockets: max_sockets,
-        unacknowledged: Some(UNACKNOWLEDGED_TIMEOUT),
+        unacknowledged_timeout: Some(UNACKNOWLEDGED_TIMEOUT),
         buffered_response_bytes: BUFFERED_RESPONSE_BYTES,
     };
     let pool = Pool::new(
--- a/crates/emberpin-proxy/src/controller/attempts.rs
+++ b/crates/emberpin-proxy/src/controller/attempts.rs
@@ -28,7 +28,7 @@
             Input::Request(_)
             | Input::ClientGone(_)
             | Input::ProbeEnded { .. }
-            | Input::Listing(_)
+            | Input::EndpointList(_)
             | Input::Peer { .. } => {}
         }
     }
@@ -176,7 +176,7 @@
             return;
         };
         // Actions that concern no request, such as messages to peers, have no meaning for a proxy.
-        service.engine.other_actions.clear();
+        service.engine.owner_actions.clear();
         for (request, instance) in service.take_sent_attempts() {
             let now = self.now();
             if let Some(in_flight) = self.in_flight.get_mut(&request) {
--- a/crates/emberpin-proxy/src/controller/routing.rs
+++ b/crates/emberpin-proxy/src/controller/routing.rs
@@ -174,7 +174,7 @@
         units: 1.0,
         set_size: 1,
         set_first: GatewayId(0),
-        ran: None,
+        prior_attempt: None,
         time_limit: response_limit,
         expires,
         outgoing: outgoing.clone(),
--- a/crates/emberpin-proxy/src/service/mod.rs
+++ b/crates/emberpin-proxy/src/service/mod.rs
@@ -196,7 +196,7 @@
         // An instance whose id is not a valid header value cannot be named in a request, so nothing is ever sent to it.
         if let Ok(instance) = HeaderValue::try_from(endpoint.change.id.as_str()) {
             let upstream =
-                Upstream::of_instance(server_instance, Some(instance), self.pool.clone());
+                Upstream::with_instance(server_instance, Some(instance), self.pool.clone());
             self.engine.upstreams.insert(server, upstream);
         }
     }
--- a/crates/emberpin-proxy/tests/server_selection.rs
+++ b/crates/emberpin-proxy/tests/server_selection.rs
@@ -266,11 +266,11 @@
 ) -> googletest::Result<()> {
     let mut server = Server::start().await;
     let limits = PoolLimits {
-        connect: common::WAIT_LIMIT,
-        idle: common::WAIT_LIMIT,
+        connect_timeout: common::WAIT_LIMIT,
+        idle_timeout: common::WAIT_LIMIT,
         max_idle_per_server: 4,
         sockets: 40,
-        unacknowledged: None,
+        unacknowledged_timeout: None,
         buffered_response_bytes: 1 << 20,
     };
     let limiter_metrics = LimiterMetrics::new(&["all".to_string()]).expect("figures");
--- a/crates/emberpin-proxy/tests/traffic_classes.rs
+++ b/crates/emberpin-proxy/tests/traffic_classes.rs
@@ -18,11 +18,11 @@
 
 fn service() -> Service {
     let limits = PoolLimits {
-        connect: Duration::from_millis(150),
-        idle: Duration::from_secs(5),
+        connect_timeout: Duration::from_millis(150),
+        idle_timeout: Duration::from_secs(5),
         max_idle_per_server: 4,
         sockets: 40,
-        unacknowledged: None,
+        unacknowledged_timeout: None,
         buffered_response_bytes: 1 << 20,
     };
     let limiter_metrics = LimiterMetrics::new(&["all".to_string()]).expect("figures");
--- a/crates/emberpin-testbed/src/scenario.rs
+++ b/crates/emberpin-testbed/src/scenario.rs
@@ -582,7 +582,7 @@
     /// The errors of [`Scenario::read`], except that of an unreadable file.
     pub fn parse(file: &str, text: &str) -> Result<Scenario, ScenarioError> {
         let raw: File = toml::from_str(text).map_err(|error| {
-            ScenarioError::Syntax(emberpin_limiter::operate::operator::place(
+            ScenarioError::Syntax(emberpin_limiter::operate::operator::format_toml_error(
                 file, text, &error,
             ))
         })?;
