--- a/crates/emberpin-bench/src/settings.rs
+++ b/crates/emberpin-bench/src/settings.rs
@@ -59,7 +59,7 @@
         plan["hard-burst"] = json!(0.0);
     }
     let target = |(number, address): (usize, &SocketAddr)| {
-        json!({"uid": format!("s-{number}"), "endpoint": address, "az": figures::hall_name(number % site.halls),
+        json!({"uid": format!("s-{number}"), "endpoint": address, "az": figures::zone_name(number % site.halls),
                "model": "std-2c", "pod_group": number / site.halls, "state": "ready", "capacity_hint": 1.0,
                "boot_ms": 0.0})
     };
--- a/crates/emberpin-testbed/src/bin/cold-start.rs
+++ b/crates/emberpin-testbed/src/bin/cold-start.rs
@@ -87,8 +87,8 @@
         "max calls 0.1 s, 1 s",
         "list: half, 99 %, all (s)",
         "ready: half, all (s)",
-        "max connects a s",
-        "share of overload",
+        "max connects in 1 s",
+        "max overload ratio",
         "served 1st s",
         "3rd",
         "6th",
@@ -109,7 +109,7 @@
             let scenario = arguments.scenario(*limiters, seed, &extra_tables)?;
             if seed == 1 {
                 eprintln!(
-                    "{limiters} limiters: a run {}",
+                    "{limiters} limiters: each run {}",
                     ResourceNeeds::for_site(&scenario.site, false)
                 );
             }
@@ -152,7 +152,7 @@
             self.known,
             self.links,
             self.rate * limiters as f64,
-// Halves the work, so that the servers could do all of it while cold.
+            // Halves the work of each request, so that the servers could do all of it while cold.
             0.5,
         );
         Scenario::parse("cold-start", &text).map_err(|error| error.to_string())
--- a/crates/emberpin-testbed/src/bin/wrong-limiter.rs
+++ b/crates/emberpin-testbed/src/bin/wrong-limiter.rs
@@ -19,13 +19,13 @@
 /// The defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Defect {
-    /// No defect: the others differ from this one only by the behaviour in their name.
+    /// No defect. Each other variant behaves like this one, apart from the defect that it names.
     Nothing,
-    /// Sends a keyed request that may have run to another zone.
-    ResendsAcrossHalls,
+    /// Resends a keyed request that may have run, to a server of another zone.
+    ResendsAcrossZones,
     /// Sends a second attempt of a safe request while the first is in flight.
     SendsTwice,
-    /// Keeps sending to draining servers.
+    /// Sends new requests to draining servers.
     KeepsDrained,
     /// Writes some responses twice.
     AnswersTwice,
@@ -41,13 +41,13 @@
     FloodsCold,
     /// Sends attempts with an id that no client used.
     Invents,
-    /// Does not start a second time.
+    /// Exits with an error when it is restarted.
     StartsOnce,
 }
 
 const DEFECTS: [(&str, Defect); 12] = [
     ("nothing", Defect::Nothing),
-    ("resends-across-halls", Defect::ResendsAcrossHalls),
+    ("resends-across-halls", Defect::ResendsAcrossZones),
     ("sends-twice", Defect::SendsTwice),
     ("keeps-drained", Defect::KeepsDrained),
     ("answers-twice", Defect::AnswersTwice),
@@ -60,7 +60,7 @@
     ("starts-once", Defect::StartsOnce),
 ];
 
-/// Defects that do not affect every request affect one in this many.
+/// A defect that affects only some requests affects one in this many.
 const DEFECT_INTERVAL: usize = 7;
 
 /// A server of the endpoint list.
@@ -85,15 +85,15 @@
     let defect = DEFECTS
         .iter()
         .find(|(defect_name, _)| *defect_name == name)
-        .ok_or(format!("unknown wrong '{name}'"))?
+        .ok_or(format!("unknown defect '{name}'"))?
         .1;
     let file = std::env::var("GW_CONFIG")?;
     let config: Value = serde_json::from_slice(&std::fs::read(&file)?)?;
-    let ran = format!("{file}.ran");
-    if defect == Defect::StartsOnce && std::fs::exists(&ran)? {
-        return Err("this one starts only once".into());
+    let marker = format!("{file}.ran");
+    if defect == Defect::StartsOnce && std::fs::exists(&marker)? {
+        return Err("a limiter with the defect starts-once starts only once".into());
     }
-    std::fs::write(ran, "")?;
+    std::fs::write(marker, "")?;
     LocalSet::new().run_until(run(defect, config)).await
 }
 
@@ -124,9 +124,9 @@
         return Ok(());
     }
     limiter.draining.set(true);
-    // By then the clients have noticed the shutdown; open requests are answered.
+    // New requests are served for this long, so that the clients notice the shutdown before connections are refused.
     sleep(Duration::from_millis(700)).await;
-    // Connections that are waiting are accepted, and the last ones get time to send a request.
+    // Connections in the listen queue are accepted before the listener closes, and get time to send a request.
     close.send_replace(true);
     _ = accepting.await;
     sleep(Duration::from_millis(200)).await;
@@ -165,9 +165,9 @@
                 continue;
             };
             let ready = text("state") == "ready";
-            let is_kept_although_draining =
+            let is_wrongly_kept =
                 self.defect == Defect::KeepsDrained && text("state") == "draining";
-            if ready || is_kept_although_draining {
+            if ready || is_wrongly_kept {
                 let boot_ms = target["boot_ms"].as_f64().unwrap_or(0.0);
                 servers.insert(
                     text("uid"),
@@ -213,12 +213,13 @@
             self.open_requests.set(self.open_requests.get() + 1);
             let number = self.next.replace(self.next.get() + 1);
             let mut response = self.handle_request(&head, &body, number).await;
-            // Otherwise the next request could arrive on this connection just as the process exits.
-            let line = response
+            // A draining limiter closes the connection after the response: otherwise the next request could arrive
+            // on it just as the process exits.
+            let status_line_end = response
                 .windows(2)
                 .position(|two| two == b"\r\n")
                 .filter(|_| self.draining.get());
-            if let Some(end) = line {
+            if let Some(end) = status_line_end {
                 response.splice(end..end, *b"\r\nConnection: close");
             }
             let written = wire.stream.write_all(&response).await;
@@ -252,20 +253,21 @@
         };
         if self.defect == Defect::SendsTwice && is_affected && !keyed {
             // The second attempt is sent while the first is in flight.
-            let (one, _) = tokio::join!(self.send_attempt(&first, head, body, None), async {
-                sleep(Duration::from_millis(1)).await;
-                match self.choose_server(number + 1, None) {
-                    Some(second) => self.send_attempt(&second, head, body, None).await,
-                    None => AttemptResult::NeverRan,
-                }
-            });
-            return one.into_response();
+            let (first_result, _) =
+                tokio::join!(self.send_attempt(&first, head, body, None), async {
+                    sleep(Duration::from_millis(1)).await;
+                    match self.choose_server(number + 1, None) {
+                        Some(second) => self.send_attempt(&second, head, body, None).await,
+                        None => AttemptResult::NeverRan,
+                    }
+                });
+            return first_result.into_response();
         }
         let invented =
             (self.defect == Defect::Invents && is_affected).then_some("0000000000000000");
         let sent = self.send_attempt(&first, head, body, invented).await;
         match (self.defect, sent) {
-            (Defect::ResendsAcrossHalls, AttemptResult::MayHaveRun) if keyed => {
+            (Defect::ResendsAcrossZones, AttemptResult::MayHaveRun) if keyed => {
                 match self.choose_server(number + 1, Some(&first.zone)) {
                     Some(other) => self
                         .send_attempt(&other, head, body, None)
--- a/crates/emberpin-testbed/src/clients.rs
+++ b/crates/emberpin-testbed/src/clients.rs
@@ -1,6 +1,6 @@
-//! The clients and the front that distributes their requests over the limiters: time limits, retries, honoured
-//! `Retry-After`, customers that move between their limiters, and repeated keys. A connection carries one request at a
-//! time and is kept for later ones.
+//! The clients and the front, a load balancer that distributes their requests over the limiters: time limits, retries,
+//! honoured `Retry-After`, customers that move between their limiters, and repeated keys. A connection carries one
+//! request at a time and is kept for later ones.
 
 use crate::figures::{Repeat, TIMING_TOLERANCE};
 use crate::http::{ReadError, Wire};
@@ -17,24 +17,26 @@
 
 /// Maximum number of idle connections that the front keeps to one limiter.
 const MAX_IDLE_CONNECTIONS: usize = 128;
-/// Time-out of a connection to a limiter, after which the limiter counts as unreachable.
+/// Time-out for connecting to a limiter, after which the limiter counts as unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long after its time limit and the timing tolerance a client still waits, so that a late response is observed.
+/// How long a client waits beyond its time limit and the timing tolerance, so that a late response is recorded as such.
 const LATE_RESPONSE_GRACE: Duration = Duration::from_millis(20);
 
 /// All clients of a run.
 pub struct Clients {
     world: Rc<World>,
-    fronts: Vec<Front>,
-    open: Cell<usize>,
+    fronts: Vec<FrontEntry>,
+    /// Number of arrivals that are not finished.
+    open_arrivals: Cell<usize>,
 }
 
-/// The front's state for one limiter.
-struct Front {
+/// What the front knows of one limiter.
+struct FrontEntry {
     address: SocketAddr,
+    /// Idle connections, each with the last request that it carried.
     idle: RefCell<Vec<(Wire, RequestId)>>,
     /// When the limiter went down; `None` while it is up.
-    down: Cell<Option<Instant>>,
+    down_since: Cell<Option<Instant>>,
 }
 
 /// How a request ended for its client.
@@ -46,7 +48,7 @@
     /// Failed, lost or timed out: the work may or may not have run.
     Failed,
     Unreachable,
-    /// Not processed: another limiter has to be tried.
+    /// Answered with 421: the request was not processed, and another limiter has to be tried.
     Misdirected,
     Cancelled,
 }
@@ -54,31 +56,31 @@
 impl Clients {
     /// Creates the clients of limiters at these addresses.
     pub fn new(world: Rc<World>, limiters: &[SocketAddr]) -> Rc<Clients> {
-        let front = |address: &SocketAddr| Front {
+        let front = |address: &SocketAddr| FrontEntry {
             address: *address,
             idle: RefCell::default(),
-            down: Cell::new(None),
+            down_since: Cell::new(None),
         };
         Rc::new(Clients {
             world,
             fronts: limiters.iter().map(front).collect(),
-            open: Cell::new(0),
+            open_arrivals: Cell::new(0),
         })
     }
 
     /// Marks a limiter as down; the front notices this after the scenario's delay.
     pub fn mark_down(&self, limiter: usize) {
-        self.fronts[limiter].down.set(Some(Instant::now()));
+        self.fronts[limiter].down_since.set(Some(Instant::now()));
     }
 
     /// Marks a limiter as up; the front uses it again at once.
     pub fn mark_up(&self, limiter: usize) {
-        self.fronts[limiter].down.set(None);
+        self.fronts[limiter].down_since.set(None);
     }
 
     /// Number of arrivals that are not finished.
     pub fn open_work(&self) -> usize {
-        self.open.get()
+        self.open_arrivals.get()
     }
 
     /// Checks all idle connections for unsolicited bytes and closes them.
@@ -104,7 +106,7 @@
 
     /// Runs one arrival to its end, with all its retries.
     pub async fn run_arrival(self: Rc<Self>, index: usize, until: Instant) {
-        self.open.set(self.open.get() + 1);
+        self.open_arrivals.set(self.open_arrivals.get() + 1);
         let schedule = &self.world.schedule;
         let arrival = &schedule.arrivals[index];
         let load = &self.world.scenario.load;
@@ -133,11 +135,11 @@
             }
             sleep(wait).await;
         }
-        self.open.set(self.open.get() - 1);
+        self.open_arrivals.set(self.open_arrivals.get() - 1);
     }
 
-    /// The limiter of the customer's set for a request: another one for each retry, and none that the front knows to
-    /// be down, unless all are down.
+    /// Chooses the limiter for a request from the customer's set: the next one for each retry, skipping limiters that
+    /// the front knows to be down unless all of them are.
     fn route(&self, arrival: &Arrival, retry: usize) -> usize {
         let customer = &self.world.schedule.customers[arrival.customer as usize];
         let notice = Duration::from_secs_f64(self.world.scenario.load.front_notice_s);
@@ -146,7 +148,7 @@
             |n: usize| (customer.first + (arrival.limiter_index + n) % customer.spread) % limiters;
         let is_known_down = |limiter: usize| {
             self.fronts[limiter]
-                .down
+                .down_since
                 .get()
                 .is_some_and(|at| at.elapsed() > notice)
         };
@@ -165,7 +167,7 @@
         retry: u32,
     ) -> RequestEnd {
         let world = &self.world;
-        // A request sent before on a kept connection may have been read, so that it may have run.
+        // A request that was sent on a reused connection before may have been read, so that it may have run.
         let unreached = |sent_before: bool| {
             world.recorder.record(EventKind::LimiterUnreachable {
                 request: request_id,
@@ -208,15 +210,15 @@
             let stops_waiting = sent_at
                 + Duration::from_micros(arrival.time_limit + TIMING_TOLERANCE)
                 + LATE_RESPONSE_GRACE;
-            let cancels_after = arrival
+            let cancels_at = arrival
                 .cancels_after
                 .filter(|_| retry == 0)
                 .map(|after| sent_at + Duration::from_micros(after));
             let read = tokio::select! {
                 biased;
                 read = wire.read(true) => read,
-                () = sleep_until(cancels_after.unwrap_or(stops_waiting)) => {
-                    let cancelled = cancels_after.is_some();
+                () = sleep_until(cancels_at.unwrap_or(stops_waiting)) => {
+                    let cancelled = cancels_at.is_some();
                     world.recorder.record(if cancelled { EventKind::RequestCancelled { request: request_id } } else { EventKind::RequestTimedOut { request: request_id } });
                     return if cancelled { RequestEnd::Cancelled } else { RequestEnd::Failed };
                 }
@@ -228,7 +230,8 @@
                         request: request_id,
                         partial_response: error != ReadError::Closed,
                     });
-                    // The limiter may have closed the idle connection as the request arrived: it is sent once more.
+                    // The limiter may have closed the idle connection while the request was on its way, so that the
+                    // request is sent once more.
                     if error == ReadError::Closed && reused && !fresh {
                         (fresh, sent) = (true, true);
                         continue;
--- a/crates/emberpin-testbed/src/discovery.rs
+++ b/crates/emberpin-testbed/src/discovery.rs
@@ -1,7 +1,8 @@
 //! The stand-in discovery service. Each limiter has an agent that serves the endpoint list it has received, delayed as
-//! the scenario says; all agents share the capacity of one service. Faults make the service silent, dead or false.
+//! the scenario says; all agents share the capacity of one service. Faults make the service silent or unreachable, or
+//! falsify its lists.
 
-use crate::figures::hall_name;
+use crate::figures::zone_name;
 use crate::http::Wire;
 use crate::scenario::EndpointListFault;
 use crate::servers::{Server, World};
@@ -21,7 +22,7 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// Interval of the empty lines that are sent on a watch while nothing changes.
+/// Interval of the empty lines that are sent on a watch as a heartbeat while nothing changes.
 const HEARTBEAT: Duration = Duration::from_secs(2);
 
 /// A server's entry in the endpoint list of one limiter.
@@ -30,7 +31,7 @@
     incarnation: Incarnation,
     state: ServerState,
     json: Value,
-    /// The list version that contained the entry, the same at all agents; 0 before it is applied.
+    /// The list version with which the entry was added, the same at all agents; 0 until then.
     version: u64,
 }
 
@@ -45,7 +46,8 @@
     listed: RefCell<BTreeMap<String, Entry>>,
     /// The entries that were present at the start.
     initial: RefCell<Vec<Entry>>,
-    update: Notify,
+    /// Notified after each change of the list.
+    changed: Notify,
 }
 
 /// The discovery service and its agents.
@@ -59,7 +61,7 @@
     /// The subscriber to calls, if any.
     calls: RefCell<Option<mpsc::UnboundedSender<usize>>>,
     capacity: Rc<SharedCapacity>,
-    /// Versions whose notification has been recorded, if limiters exchange endpoint lists.
+    /// Versions whose notification has been recorded; only used if limiters exchange endpoint lists.
     recorded_versions: RefCell<HashSet<u64>>,
     rng: RefCell<ChaCha8Rng>,
 }
@@ -81,7 +83,7 @@
                 last_due: Cell::new(Instant::now()),
                 listed: RefCell::default(),
                 initial: RefCell::default(),
-                update: Notify::new(),
+                changed: Notify::new(),
             }));
             listeners.push(listener);
         }
@@ -229,7 +231,7 @@
     ) -> Entry {
         let json = json!({
             "uid": server.uid(), "endpoint": server.addresses.borrow()[limiter].to_string(),
-            "az": hall_name(self.world.zone(server.number)), "model": "std-2c",
+            "az": zone_name(self.world.zone(server.number)), "model": "std-2c",
             "pod_group": server.number / self.world.scenario.site.halls,
             "state": match state {
                 ServerState::Ready => "ready",
@@ -299,9 +301,9 @@
         for entry in &entries {
             let (incarnation, state) = (entry.incarnation, entry.state);
             let site = &self.world.scenario.site;
-            // If limiters exchange endpoint lists, an update that one of them gets counts as notified to all; a version
-            // that was recorded before, or an entry without a version, counts for none.
-            let to = match site.one_address {
+            // If limiters exchange endpoint lists, an entry that one of them gets counts as notified to all of them,
+            // once for each version; an entry without a version is not recorded.
+            let notified = match site.one_address {
                 false => limiter..limiter + 1,
                 true if entry.version > 0
                     && self.recorded_versions.borrow_mut().insert(entry.version) =>
@@ -310,7 +312,7 @@
                 }
                 true => 0..0,
             };
-            for limiter in to {
+            for limiter in notified {
                 self.world.recorder.record(EventKind::LimiterNotified {
                     limiter,
                     incarnation,
@@ -336,7 +338,7 @@
     async fn serve(&self, limiter: usize, mut wire: Wire) {
         let recorder = &self.world.recorder;
         let mut dead = self.dead.subscribe();
-        // A call to a dead service counts as failed.
+        // A connection to a dead service counts as one failed call.
         let call_pending = Cell::new(*dead.borrow());
         if call_pending.get() {
             self.record_call(limiter);
@@ -357,7 +359,7 @@
         }
     }
 
-    /// Serves list calls, or one watch until it ends; returns whether no call failed.
+    /// Serves list calls until the connection ends, or one watch; returns `false` if a call failed.
     async fn serve_connection_calls(
         &self,
         limiter: usize,
@@ -421,11 +423,11 @@
         if wire.stream.write_all(head).await.is_err() {
             return;
         }
-        let mut line = self.response_after(limiter, since);
+        let mut pending_update = self.response_after(limiter, since);
         let mut known_version = since.unwrap_or(0);
         loop {
-            let update = agent.update.notified();
-            if let Some((rev, listing)) = line.take() {
+            let changed = agent.changed.notified();
+            if let Some((rev, listing)) = pending_update.take() {
                 known_version = rev;
                 let update_json = self.render_update(limiter, rev, listing);
                 let line = if self.world.scenario.site.discovery_indented {
@@ -439,7 +441,7 @@
             }
             tokio::select! {
                 () = wire.wait_until_closed() => return,
-                () = update => line = (agent.rev.get() > known_version).then(|| (agent.rev.get(), (false, agent.changed_after(known_version)))),
+                () = changed => pending_update = (agent.rev.get() > known_version).then(|| (agent.rev.get(), (false, agent.changed_after(known_version)))),
                 () = tokio::time::sleep(HEARTBEAT) => {
                     if !*silent.borrow_and_update() && write_line(wire, "").await.is_err() {
                         return;
@@ -462,10 +464,10 @@
         self.listed
             .borrow_mut()
             .insert(uid, Entry { version, ..entry });
-        self.update.notify_waiters();
+        self.changed.notify_waiters();
     }
 
-    /// The full list: `true` for full, and all entries that are not removed.
+    /// The full list as [`Discovery::render_update`] takes it: `true` for full, and all entries that are not removed.
     fn full_list(&self) -> (bool, Vec<Entry>) {
         let listed = self.listed.borrow();
         let present = listed
--- a/crates/emberpin-testbed/src/figures.rs
+++ b/crates/emberpin-testbed/src/figures.rs
@@ -64,9 +64,10 @@
 
 /// How long a zone's servers recognise a key.
 pub const DEDUP_WINDOW: Micros = 3 * SECOND / 2;
-/// After this time from its notification, a limiter must send nothing new to a draining server.
+/// How long after its notification a limiter may still send new requests to a draining server.
 pub const DRAIN_GRACE: Micros = SECOND / 2;
-/// A cold server crashes if it is sent more than this multiple of what it can do within [`OVERLOAD_WINDOW`].
+/// A cold server crashes if the work sent to it within [`OVERLOAD_WINDOW`] exceeds this multiple of what it can do in
+/// that time.
 pub const OVERLOAD_MULTIPLE: f64 = 2.0;
 /// The window in which the work sent to a cold server is summed.
 pub const OVERLOAD_WINDOW: Micros = SECOND;
@@ -89,7 +90,7 @@
     pub ceiling: Option<(f64, f64)>,
     /// Factor on the worth of requests.
     pub price: f64,
-    /// Share of all usage within quotas.
+    /// Share of the load that the customers of this plan cause together while they keep within their quotas.
     pub share: f64,
 }
 
@@ -122,6 +123,6 @@
 ];
 
 /// The name of a zone by its number.
-pub fn hall_name(zone: usize) -> String {
+pub fn zone_name(zone: usize) -> String {
     format!("hall-{}", (b'a' + (zone % 26) as u8) as char)
 }
--- a/crates/emberpin-testbed/src/html_report.rs
+++ b/crates/emberpin-testbed/src/html_report.rs
@@ -88,18 +88,18 @@
     );
     tables(write, summary);
     let plots = [
-        ("Tries and answers a second", &rates[..]),
-        ("Time to a served answer, ms", &times[..]),
+        ("Requests and responses a second", &rates[..]),
+        ("Time to a served response, ms", &times[..]),
         ("Processor use of each limiter, % of a core", &cpu[..]),
         ("Largest resident set of each limiter, MiB", &memory[..]),
     ];
     for (title, lines) in plots {
         let drawn = plot(lines, &faults, seconds(scenario.length));
-        let drawn = drawn.map_err(|e| format!("the plot '{title}': {e}"))?;
+        let drawn = drawn.map_err(|e| format!("cannot draw the plot '{title}': {e}"))?;
         _ = write!(write, "<h2>{title}</h2>{drawn}");
     }
     if !faults.is_empty() {
-        _ = write!(write, "<h2>What went wrong, and when</h2><ol>");
+        _ = write!(write, "<h2>Faults</h2><ol>");
         for (at, name) in &faults {
             _ = write!(write, "<li>{at:.2} s: {}</li>", escape(name));
         }
@@ -109,7 +109,7 @@
     if !histories.is_empty() {
         _ = write!(
             write,
-            "<h2>The first break of each rule</h2><pre>{}</pre>",
+            "<h2>The first violation of each rule</h2><pre>{}</pre>",
             escape(histories.trim())
         );
     }
@@ -195,8 +195,8 @@
             .x_desc("s")
             .draw()?;
         for (at, _) in faults.iter().filter(|(at, _)| *at <= length) {
-            let upright = vec![(*at, 0.0), (*at, highest * 1.08)];
-            chart.draw_series(LineSeries::new(upright, RGBColor(190, 50, 50).mix(0.35)))?;
+            let marker = vec![(*at, 0.0), (*at, highest * 1.08)];
+            chart.draw_series(LineSeries::new(marker, RGBColor(190, 50, 50).mix(0.35)))?;
         }
         for (index, (name, points)) in lines.iter().enumerate() {
             let colour = COLOURS[index % COLOURS.len()];
--- a/crates/emberpin-testbed/src/http.rs
+++ b/crates/emberpin-testbed/src/http.rs
@@ -5,9 +5,11 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Limits on messages: bytes of a head, bytes of a body, and headers.
+/// Maximum size of a message's head in bytes.
 const MAX_HEAD: usize = 32 * 1024;
+/// Maximum size of a message's body in bytes.
 const MAX_BODY: usize = 1 << 20;
+/// Maximum number of headers of a message.
 const MAX_HEADERS: usize = 64;
 
 /// The head of a message.
@@ -31,7 +33,7 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// Whether the sender closes the connection after this message.
+    /// Whether the sender closes the connection after this message (`Connection: close`).
     pub fn closes(&self) -> bool {
         self.header("connection")
             .is_some_and(|value| value.eq_ignore_ascii_case("close"))
@@ -107,7 +109,7 @@
 impl Wire {
     /// Wraps a connection on which nothing has been read.
     pub fn new(stream: TcpStream) -> Wire {
-        // Without this option a message could wait for another; on loopback it does not fail, so errors are ignored.
+        // Otherwise Nagle's algorithm could delay a message. Setting the option does not fail on loopback.
         _ = stream.set_nodelay(true);
         Wire {
             stream,
@@ -157,8 +159,8 @@
         !self.buffered.is_empty() || self.fill().await.is_ok()
     }
 
-    /// What is unread on an idle connection, as far as the operating system knows now: nothing (`None`), bytes
-    /// (`Some(true)`), or its end (`Some(false)`).
+    /// What an idle connection has received and nobody has read, without waiting: nothing (`None`), bytes
+    /// (`Some(true)`), or the end of the connection (`Some(false)`).
     pub fn unread_state(&self) -> Option<bool> {
         if !self.buffered.is_empty() {
             return Some(true);
--- a/crates/emberpin-testbed/src/invariants.rs
+++ b/crates/emberpin-testbed/src/invariants.rs
@@ -1,7 +1,7 @@
 //! The invariant checker: checks five rules on a trace of what crossed the sockets. It is a pure function of the
 //! trace and applies the allowances of the protocol page: each time limit is extended by 50 ms, requests in flight
-//! at a killed limiter are left to the client's retry, and a request that crosses the closing of an idle connection
-//! may be sent once more.
+//! at a killed limiter are left to the client's retry, and a client may send a request once more if the limiter closed
+//! the idle connection while the request was on its way.
 //!
 //! A violation during which the stand-ins themselves ran late is reported separately, because the delay of the
 //! stand-ins may have caused it.
@@ -18,15 +18,15 @@
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
-/// The previous attempt must have ended when the next one is received completely. This allowance, in microseconds,
-/// covers the order in which the stand-ins observe simultaneous events on two connections.
+/// An attempt may end at most this long, in microseconds, after the next one was received completely: the stand-ins may
+/// observe simultaneous events on two connections in either order.
 const OVERLAP_ALLOWANCE: Micros = 10_000;
 /// The tolerance of a ceiling is extended by what its rate yields in this time, in seconds.
 const CEILING_TOLERANCE_S: f64 = 0.15;
 /// The tolerance of a ceiling: this share of its burst, or the largest request, whichever is greater.
 const CEILING_TOLERANCE_SHARE: f64 = 0.1;
-/// Overloading a cold server is a violation only if at least this share of the work came from limiters that had
-/// been notified of the server's start.
+/// An overloaded cold server is a violation only if at least this share of its work came from limiters that had been
+/// notified of its start.
 const MIN_NOTIFIED_SHARE: f64 = 2.0 / 3.0;
 /// Maximum number of lines in the history of a violation.
 const MAX_HISTORY_LINES: usize = 60;
@@ -60,10 +60,10 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.pad(match self {
             Rule::Answers => "no request lost",
-            Rule::Effects => "no effect twice",
-            Rule::Drains => "drains kept",
-            Rule::ColdServers => "no cold server pushed over",
-            Rule::Ceilings => "ceilings kept",
+            Rule::Effects => "no repeated effect",
+            Rule::Drains => "no new requests to draining servers",
+            Rule::ColdServers => "no cold server overloaded",
+            Rule::Ceilings => "no ceiling exceeded",
         })
     }
 }
@@ -110,7 +110,7 @@
 
 impl Verdict {
     /// Whether no violation was found, certain or uncertain.
-    pub fn has_no_findings(&self) -> bool {
+    pub fn is_clean(&self) -> bool {
         self.findings
             .iter()
             .all(|finding| finding.violations == 0 && finding.uncertain == 0)
@@ -182,7 +182,7 @@
 /// A violation without its history: only the first violation of a rule gets one.
 struct DetectedViolation {
     rule: Rule,
-    /// The start of the period that led to the violation.
+    /// The start of the period in which the violation came about.
     from: Micros,
     at: Micros,
     message: String,
@@ -234,7 +234,7 @@
 }
 
 impl AttemptRecord {
-    /// Whether the limiter had no proof that the attempt did not run.
+    /// Whether the server may have run the attempt, as far as the limiter can know.
     fn may_have_run(&self) -> bool {
         self.received.is_some()
             && self
@@ -248,7 +248,7 @@
     server: usize,
     started_at: Micros,
     capacity: f64,
-    cold_from: f64,
+    initial_capacity_share: f64,
     warm_after: Micros,
 }
 
@@ -384,7 +384,7 @@
                     record.attempts.push(*attempt);
                 }
             }
-            EventKind::AttemptExecuted {
+            EventKind::AttemptDequeued {
                 attempt,
                 repeated_effect,
                 ..
@@ -402,14 +402,14 @@
                 incarnation,
                 server,
                 capacity,
-                cold_from,
+                initial_capacity_share,
                 warm_after,
             } => {
                 let record = IncarnationRecord {
                     server: *server,
                     started_at: at,
                     capacity: *capacity,
-                    cold_from: *cold_from,
+                    initial_capacity_share: *initial_capacity_share,
                     warm_after: *warm_after,
                 };
                 self.incarnations.insert(*incarnation, record);
@@ -444,9 +444,10 @@
         })
     }
 
-    /// Whether the limiter was killed by a fault between two times. The sockets of a killed process stay open for a
-    /// moment after the signal; its next incarnation becomes ready only later.
-    fn killed(&self, limiter: usize, from: Micros, to: Micros) -> bool {
+    /// Whether a fault killed the limiter between two times, or at most the timing tolerance before, since the sockets
+    /// of a killed process stay open for a moment after the signal. A kill before `from` does not count if the limiter
+    /// was ready again by then.
+    fn was_killed(&self, limiter: usize, from: Micros, to: Micros) -> bool {
         let in_period = |(at, which, end): &&(Micros, usize, ProcessEnd)| {
             *which == limiter
                 && *end == ProcessEnd::Killed
@@ -467,9 +468,9 @@
     fn check_responses(&self, violations: &mut Violations) {
         for (at, limiter, end) in &self.exits {
             let message = match end {
-                ProcessEnd::Crashed => format!("limiter {limiter} ended unasked"),
+                ProcessEnd::Crashed => format!("limiter {limiter} exited unexpectedly"),
                 ProcessEnd::ShutdownTimedOut => {
-                    format!("limiter {limiter} had not left in its time after SIGTERM")
+                    format!("limiter {limiter} had not exited within the shutdown time-out after SIGTERM")
                 }
                 ProcessEnd::Killed | ProcessEnd::ShutDown => continue,
             };
@@ -485,7 +486,7 @@
         }
         for (at, limiter, after) in &self.stray {
             let message =
-                format!("limiter {limiter} sent bytes on a connection that was owed no answer");
+                format!("limiter {limiter} sent bytes on a connection without a pending request");
             let violation = DetectedViolation {
                 rule: Rule::Answers,
                 from: at.saturating_sub(TIMING_TOLERANCE),
@@ -518,13 +519,13 @@
                 if !valid {
                     report_violation(
                         *at,
-                        format!("a {status} that no server made for this request"),
+                        format!("got a {status} that no server sent for this request"),
                     );
                 } else if *at > due {
                     let over = seconds(at - (due - TIMING_TOLERANCE)) * 1000.0;
                     report_violation(
                         *at,
-                        format!("answered {over:.0} ms after the client's time was up"),
+                        format!("answered {over:.0} ms after the client's time limit"),
                     );
                 }
             }
@@ -534,22 +535,22 @@
             }
             for (position, (at, partial_response)) in record.connection_losses.iter().enumerate() {
                 let send = &record.sends[position.min(record.sends.len() - 1)];
-                // A request may cross the closing of an idle connection. The limiter had not read the request if
-                // no attempt of it reached a server.
-                let read = self
+                // The limiter may have closed the idle connection while the request was on its way. It had not read
+                // the request if no attempt of it reached a server.
+                let was_read = self
                     .received_attempts(record)
                     .any(|(_, attempt)| attempt.started_at <= *at + TIMING_TOLERANCE);
-                let crossed = send.reused && !read && record.sends.len() > position + 1;
+                let crossed_close = send.reused && !was_read && record.sends.len() > position + 1;
                 if !partial_response
-                    && !crossed
-                    && !self.killed(send.limiter, send.at, at + TIMING_TOLERANCE)
+                    && !crossed_close
+                    && !self.was_killed(send.limiter, send.at, at + TIMING_TOLERANCE)
                 {
                     report_violation(*at, "its connection ended with no answer".into());
                 }
             }
             if let Some(at) = record.timed_out_at {
-                if !self.killed(last.limiter, last.at, at) {
-                    report_violation(at, "no answer before the client's time was up".into());
+                if !self.was_killed(last.limiter, last.at, at) {
+                    report_violation(at, "no answer within the client's time limit".into());
                 }
             }
             if let Some((answered, ..)) = record.responses.first() {
@@ -557,7 +558,10 @@
                     .received_attempts(record)
                     .find(|(_, attempt)| attempt.started_at > answered + TIMING_TOLERANCE);
                 if let Some((_, attempt)) = after {
-                    report_violation(attempt.started_at, "sent on after its final answer".into());
+                    report_violation(
+                        attempt.started_at,
+                        "an attempt started after its final answer".into(),
+                    );
                 }
             }
         }
@@ -607,7 +611,7 @@
                     report_violation(
                         earlier.started_at,
                         next.started_at,
-                        "a second attempt while the first was out".into(),
+                        "a second attempt while the first was in flight".into(),
                     );
                 }
                 let Some(first) = first_that_may_have_run
@@ -621,28 +625,28 @@
                     Repeat::Unsafe => report_violation(
                         first.started_at,
                         next.started_at,
-                        "an unsafe request that may have run went out again".into(),
+                        "an unsafe request that may have run was sent again".into(),
                     ),
                     Repeat::Keyed => {
                         if self.zone(first) != self.zone(next) {
                             let message =
-                                "a keyed request that may have run went out again in another hall";
+                                "a keyed request that may have run was sent again in another hall";
                             report_violation(first.started_at, next.started_at, message.into());
                         } else if next.started_at
                             > first.started_at + DEDUP_WINDOW + TIMING_TOLERANCE
                         {
                             let message =
-                                "a keyed request that may have run went out again after its window";
+                                "a keyed request that may have run was sent again after the deduplication window";
                             report_violation(first.started_at, next.started_at, message.into());
                         }
                     }
                 }
             }
-            let refused = record
+            let rejection = record
                 .responses
                 .iter()
                 .find(|(_, status, _)| matches!(status, 429 | 503));
-            if let (Some((at, status, _)), Some(first)) = (refused, first_that_may_have_run) {
+            if let (Some((at, status, _)), Some(first)) = (rejection, first_that_may_have_run) {
                 if CLASSES[record.class].repeat != Repeat::Safe {
                     let message = format!("refused with {status}, though it may have run");
                     report_violation(attempts[first].started_at, *at, message);
@@ -674,7 +678,7 @@
             .filter(|_| self.options.check_repeated_effects_per_key)
         {
             if let Some((record, request)) = request_of_attempt(attempt) {
-                let text = "the effect of a key was had a second time".to_string();
+                let text = "the effect of a key happened a second time".to_string();
                 let violation = DetectedViolation {
                     rule: Rule::Effects,
                     from: record.started_at,
@@ -723,7 +727,7 @@
                 .get(&attempt.incarnation)
                 .map_or(0, |incarnation| incarnation.server);
             let message = format!(
-                "limiter {} sent to server {server} {:.0} ms after it was told of its drain",
+                "limiter {} sent to server {server} {:.0} ms after it was notified of that server's drain",
                 attempt.limiter,
                 seconds(attempt.started_at - since) * 1000.0
             );
@@ -838,7 +842,7 @@
                 last = *at;
                 if balance < -slack {
                     let message = format!(
-                        "customer {customer} ({}) is {:.1} units over its ceiling, of {slack:.1} in slack",
+                        "customer {customer} ({}) is {:.1} units over its ceiling, with a tolerance of {slack:.1}",
                         PLANS[*plan].name, -balance
                     );
                     let violation = DetectedViolation {
@@ -918,10 +922,10 @@
     fn achievable_work(&self, from: Micros, to: Micros) -> f64 {
         let share = |at: Micros| {
             let part = at.saturating_sub(self.started_at) as f64 / self.warm_after as f64;
-            self.cold_from + (1.0 - self.cold_from) * part.min(1.0)
+            self.initial_capacity_share + (1.0 - self.initial_capacity_share) * part.min(1.0)
         };
-        // The capacity rises linearly, so the mean of both ends is the mean over the period. A window that begins
-        // before the server's start counts at its full length, with the capacity share at the start.
+        // The capacity rises linearly, so the mean of both ends is the mean over the period. The part of a period
+        // before the server's start counts as well, as if the server had had its initial share of the capacity.
         let mean = (share(from.max(self.started_at)) + share(to)) / 2.0;
         mean * self.capacity * (to - from) as f64 / 1000.0
     }
@@ -948,7 +952,7 @@
         match self {
             EventKind::AttemptStarted { attempt, .. }
             | EventKind::AttemptReceived { attempt, .. }
-            | EventKind::AttemptExecuted { attempt, .. }
+            | EventKind::AttemptDequeued { attempt, .. }
             | EventKind::AttemptEnded { attempt, .. } => Some(*attempt),
             _ => None,
         }
@@ -972,7 +976,7 @@
             EventKind::Responded { request, status, valid, retry_after } => {
                 write!(formatter, "client receives {status} for request {}", request.0)?;
                 if !valid {
-                    write!(formatter, ", not made for this request")?;
+                    write!(formatter, ", not sent by a server for this request")?;
                 }
                 retry_after.map_or(Ok(()), |wait| write!(formatter, ", retry after {:.3} s", seconds(wait)))
             }
@@ -991,7 +995,7 @@
                 let of = request.map_or("of no client's request".into(), |request| format!("of request {}", request.0));
                 write!(formatter, "last byte of attempt {} {of}, {work:.1} ms of work", attempt.0)
             }
-            EventKind::AttemptExecuted { attempt, repeated_effect, deduplicated } => write!(
+            EventKind::AttemptDequeued { attempt, repeated_effect, deduplicated } => write!(
                 formatter,
                 "attempt {} {}",
                 attempt.0,
@@ -1002,11 +1006,11 @@
                 }
             ),
             EventKind::AttemptEnded { attempt, end } => write!(formatter, "attempt {} ends: {end:?}", attempt.0),
-            EventKind::ServerStarted { incarnation, server, cold_from, warm_after, .. } => {
+            EventKind::ServerStarted { incarnation, server, initial_capacity_share, warm_after, .. } => {
                 write!(formatter, "server {server} started as incarnation {}", incarnation.0)?;
                 match warm_after {
                     0 => Ok(()),
-                    after => write!(formatter, ", cold from {cold_from}, warm after {:.1} s", seconds(*after)),
+                    after => write!(formatter, ", at {initial_capacity_share} of its capacity, warm after {:.1} s", seconds(*after)),
                 }
             }
             EventKind::ServerStopped { incarnation } => write!(formatter, "server incarnation {} ends", incarnation.0),
--- a/crates/emberpin-testbed/src/main.rs
+++ b/crates/emberpin-testbed/src/main.rs
@@ -23,13 +23,13 @@
 const EXIT_VIOLATION: u8 = 1;
 /// Exit status for an invalid command line or scenario, or a site that does not start.
 const EXIT_UNUSABLE: u8 = 2;
-/// Exit status if the only violations were found while the stand-ins ran late.
+/// Exit status if violations were found, but all of them while the stand-ins ran late.
 const EXIT_UNCERTAIN: u8 = 3;
 
 /// Run a scenario with limiters between stand-ins on loopback, and check it against the five rules.
 ///
-/// Exit status: 0 every rule held, 1 a rule was violated, 2 the scenario could not be run, 3 the stand-ins ran too
-/// late to be sure.
+/// Exit status: 0 every rule held, 1 a rule was violated, 2 the scenario could not be run, 3 violations
+/// were found only while the stand-ins ran late.
 #[derive(Parser)]
 #[command(name = "emberpin-testbed", version, max_term_width = 100)]
 struct Arguments {
@@ -69,7 +69,7 @@
     {
         return emberpin_limiter::operate::command::main(std::env::args_os().skip(1));
     }
-    match play(&Arguments::parse()) {
+    match run_scenario(&Arguments::parse()) {
         Ok(status) => status,
         Err(problem) => {
             eprintln!("emberpin-testbed: {}", problem.replace('\n', " "));
@@ -78,7 +78,7 @@
     }
 }
 
-fn play(arguments: &Arguments) -> Result<ExitCode, String> {
+fn run_scenario(arguments: &Arguments) -> Result<ExitCode, String> {
     let scenario = arguments.scenario()?;
     let mut program = match &arguments.limiter {
         Some(path) => Program {
@@ -103,7 +103,7 @@
     }
     println!("{}: {}", scenario.name, scenario.about);
     println!(
-        "it {}",
+        "the site {}",
         ResourceNeeds::for_site(&scenario.site, program.links)
     );
     let display = ProgressDisplay::new(scenario.length);
@@ -113,14 +113,11 @@
     println!("{}", summary.to_text());
     arguments.write_reports(&outcome, &summary)?;
     let verdict = &outcome.verdict;
-    if verdict.has_no_findings() {
+    if verdict.is_clean() {
         return Ok(ExitCode::SUCCESS);
     }
     println!("{}", violation_histories(verdict));
-    println!(
-        "To bring it back: {}",
-        arguments.reproduce_command(&scenario)
-    );
+    println!("To reproduce: {}", arguments.reproduce_command(&scenario));
     Ok(ExitCode::from(if verdict.has_violations() {
         EXIT_VIOLATION
     } else {
@@ -148,8 +145,8 @@
             std::fs::write(path, text).map_err(|e| format!("cannot write {}: {e}", path.display()))
         };
         if let Some(path) = &self.json {
-            let text =
-                serde_json::to_string_pretty(summary).map_err(|e| format!("the figures: {e}"))?;
+            let text = serde_json::to_string_pretty(summary)
+                .map_err(|e| format!("cannot write the figures as JSON: {e}"))?;
             save(path, text + "\n")?;
         }
         if let Some(path) = &self.report {
--- a/crates/emberpin-testbed/src/peer_links.rs
+++ b/crates/emberpin-testbed/src/peer_links.rs
@@ -1,5 +1,5 @@
-//! The stream links between limiters. Each limiter reaches each other one through a relay of its own, so that a network
-//! split also holds back the bytes under way in both directions, as a cut cable does.
+//! The stream links between limiters. Each limiter connects to each other one through a relay for just this pair, so
+//! that a network split also holds back the bytes in transit, as a cut cable does.
 
 use crate::peers::NetworkSplit;
 use crate::servers::World;
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Maximum number of limiters with links between all pairs, which idempotency keys need. Larger groups only have links
+/// Up to this many limiters have links between all pairs, which idempotency keys need. Larger groups only have links
 /// between neighbours in the exchange of endpoint lists.
 pub const MAX_FULL_MESH: usize = 40;
 
@@ -113,19 +113,19 @@
     pair: (usize, usize),
     split: watch::Receiver<Option<NetworkSplit>>,
 ) {
-    while let Ok((neighbour_ids, _)) = listener.accept().await {
+    while let Ok((near, _)) = listener.accept().await {
         let split = split.clone();
         spawn_local(async move {
             let Ok(far) = TcpStream::connect(to).await else {
                 return;
             };
-            _ = (neighbour_ids.set_nodelay(true), far.set_nodelay(true));
-            let ((near_out, near_in), (far_out, far_in)) =
-                (neighbour_ids.into_split(), far.into_split());
+            _ = (near.set_nodelay(true), far.set_nodelay(true));
+            let ((near_reader, near_writer), (far_reader, far_writer)) =
+                (near.into_split(), far.into_split());
             // If one direction ends, both do: a process that has exited neither reads nor writes.
             tokio::select! {
-                () = forward(near_out, far_in, pair, split.clone()) => {}
-                () = forward(far_out, near_in, (pair.1, pair.0), split) => {}
+                () = forward(near_reader, far_writer, pair, split.clone()) => {}
+                () = forward(far_reader, near_writer, (pair.1, pair.0), split) => {}
             }
         });
     }
@@ -150,6 +150,6 @@
             return;
         }
     }
-    // The end of the stream does not pass a cut either.
+    // A split also holds back the end of the stream: the receiver's side is closed only once the split is healed.
     _ = split.wait_for(|split| !is_blocked(split)).await;
 }
--- a/crates/emberpin-testbed/src/peers.rs
+++ b/crates/emberpin-testbed/src/peers.rs
@@ -1,5 +1,5 @@
-//! The datagram network between limiters: every datagram passes a socket of this stand-in, which can lose, delay
-//! and reorder it, or split the limiters into groups that do not receive each other's datagrams.
+//! The datagram network between limiters: every datagram passes through a socket of this stand-in, which can lose,
+//! delay and reorder it, or split the limiters into groups that do not receive each other's datagrams.
 //!
 //! `sockets[b]` is the socket whose address all limiters use for limiter `b`. The sender of a datagram is identified by
 //! its source address; the datagram is forwarded to `b` from the sender's socket, since `b` identifies its peers by
@@ -48,7 +48,7 @@
     split: Option<NetworkSplit>,
     /// Share of datagrams that are lost.
     loss: f64,
-    /// Maximum delay of the other datagrams, drawn for each, so that they overtake each other.
+    /// Maximum delay of the other datagrams. The delay is drawn for each of them, so that they overtake each other.
     delay: Duration,
 }
 
@@ -106,7 +106,8 @@
         Ok(net)
     }
 
-    /// Where a limiter listens, at which addresses it reaches each limiter, and the broadcast address.
+    /// The address at which a limiter listens, the addresses at which it reaches all limiters, and the broadcast
+    /// address.
     ///
     /// # Errors
     ///
@@ -135,7 +136,7 @@
     async fn relay(self: Rc<Self>, socket: &UdpSocket, to: Option<usize>) {
         let mut buffer = [0; MAX_DATAGRAM];
         loop {
-            // An error here reports an earlier datagram to a limiter that is down.
+            // `recv_from` also fails if an earlier datagram from this socket reached no limiter, as that one was down.
             let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
                 continue;
             };
--- a/crates/emberpin-testbed/src/process.rs
+++ b/crates/emberpin-testbed/src/process.rs
@@ -78,7 +78,8 @@
     exited: watch::Sender<bool>,
     /// The last line on standard error before the latest unexpected exit of a ready limiter; empty if there was none.
     last_stderr_line: RefCell<String>,
-    /// The point of the code at which the next incarnation stops, as `POINT:N`; consumed by the next start.
+    /// Where the next incarnation pauses itself with SIGSTOP, as `POINT:N` (see [`Limiter::stop_at_point`]); consumed
+    /// by the next start.
     stop_point: RefCell<Option<String>>,
     /// The fault of the disk that holds the durable log, as `KIND:N`; it applies to every incarnation.
     disk_fault: RefCell<Option<String>>,
@@ -146,7 +147,7 @@
                     .clone()
                     .map(|fault| ("EMBERPIN_DISK", fault)),
             )
-            // The limiter creates this file when its disk fault first takes effect.
+            // The limiter creates this marker file when its disk fault first takes effect.
             .env("EMBERPIN_DISK_SAID", self.disk_fault_marker())
             .stdin(Stdio::null())
             .stdout(Stdio::null())
@@ -193,7 +194,7 @@
         Ok(true)
     }
 
-    /// Returns a function for `map_err` that reports that this file could not be created.
+    /// Returns a function for `map_err` that turns an I/O error into the error that this file could not be created.
     fn file_error(&self, file: LimiterFile) -> impl FnOnce(std::io::Error) -> LimiterError {
         let number = self.number;
         move |source| LimiterError::File {
@@ -281,7 +282,7 @@
 
     /// Kills the process with SIGKILL; returns when it has exited.
     pub async fn kill(&self) {
-        // Recorded before the signal is sent, so that no effect of it precedes it in the trace.
+        // The exit is recorded before the signal is sent, so that the trace has no effect of the kill before the exit.
         self.kill_as(ProcessEnd::Killed);
         self.wait_until_exited().await;
     }
@@ -331,8 +332,8 @@
         self.signal(Signal::SIGHUP);
     }
 
-    /// Makes the next incarnation stop itself at a point of its code. `point` has the format `POINT:N`: it stops when
-    /// it reaches the point for the Nth time.
+    /// Makes the next incarnation pause itself with SIGSTOP at a point of its code. `point` has the format `POINT:N`:
+    /// the limiter pauses when it reaches the point for the Nth time, and stays paused until it is resumed or killed.
     pub fn stop_at_point(&self, point: &str) {
         *self.stop_point.borrow_mut() = Some(point.into());
     }
@@ -343,7 +344,8 @@
         *self.disk_fault.borrow_mut() = Some(disk_fault.into());
     }
 
-    /// The file that the limiter creates once the disk fault has taken effect; passed to it in `EMBERPIN_DISK_SAID`.
+    /// The marker file that the limiter creates once its disk fault has taken effect; its path is passed to the limiter
+    /// in `EMBERPIN_DISK_SAID`.
     pub fn disk_fault_marker(&self) -> PathBuf {
         self.folder
             .join(format!("limiter-{}.disk-fault", self.number))
--- a/crates/emberpin-testbed/src/report.rs
+++ b/crates/emberpin-testbed/src/report.rs
@@ -12,12 +12,12 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Outcomes of pieces of work, counted from their first requests.
+/// Outcomes of pieces of work. A piece of work is one request of a client with all its retries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Row {
     /// Name of the class or plan.
     pub name: String,
-    /// Pieces of work requested, without those whose client cancelled.
+    /// Number of pieces of work, without those whose client cancelled.
     pub asked: u64,
     /// Served within the class's latency target, counted from the first request.
     pub in_time: u64,
@@ -31,7 +31,7 @@
     pub p50_ms: f64,
     /// The 99th percentile of that time, in milliseconds.
     pub p99_ms: f64,
-    /// Share of the units sent to servers that exceeded the customers' quotas; only for plans.
+    /// The part of the units sent to servers that exceeded the customers' quotas, as a share; only for plans.
     pub beyond_quota: Option<f64>,
 }
 
@@ -86,12 +86,15 @@
 #[derive(Clone, Copy, Default)]
 struct WorkOutcome {
     cancelled: bool,
-    asked: Option<Micros>,
+    /// Time of the first request, even if it reached no limiter.
+    sent_at: Option<Micros>,
+    /// Time of the first response with status 200.
     served: Option<Micros>,
-    refused: bool,
+    /// Whether the last request was rejected (429 or 503).
+    rejected: bool,
 }
 
-/// The outcomes of all pieces of work, by arrival.
+/// The outcomes of all pieces of work, in the order of their arrivals in the schedule.
 fn work_outcomes(events: &[Event], arrivals: usize) -> Vec<WorkOutcome> {
     let mut work_outcomes = vec![WorkOutcome::default(); arrivals];
     for event in events {
@@ -109,13 +112,13 @@
         };
         match &event.kind {
             EventKind::RequestSent { .. } | EventKind::LimiterUnreachable { .. } => {
-                job.asked = job.asked.or(Some(event.at));
-                job.refused = false;
+                job.sent_at = job.sent_at.or(Some(event.at));
+                job.rejected = false;
             }
             EventKind::Responded { status: 200, .. } => job.served = job.served.or(Some(event.at)),
-            EventKind::Responded { status, .. } => job.refused = matches!(status, 429 | 503),
+            EventKind::Responded { status, .. } => job.rejected = matches!(status, 429 | 503),
             EventKind::RequestCancelled { .. } => job.cancelled = true,
-            _ => job.refused = false,
+            _ => job.rejected = false,
         }
     }
     work_outcomes
@@ -140,14 +143,14 @@
     }
 
     fn count(&mut self, job: &WorkOutcome, latency_target: Micros) {
-        let Some(asked) = job.asked else { return };
+        let Some(sent_at) = job.sent_at else { return };
         if job.cancelled {
             return;
         }
         self.row.asked += 1;
         match job.served {
             Some(at) => {
-                let time = at.saturating_sub(asked);
+                let time = at.saturating_sub(sent_at);
                 self.times.push(time as f64 / 1000.0);
                 *(if time <= latency_target {
                     &mut self.row.in_time
@@ -155,7 +158,7 @@
                     &mut self.row.late
                 }) += 1;
             }
-            None if job.refused => self.row.refused += 1,
+            None if job.rejected => self.row.refused += 1,
             None => self.row.failed += 1,
         }
     }
@@ -220,15 +223,16 @@
             .iter()
             .map(|plan| RowBuilder::named(plan.name))
             .collect();
-        for (arrival, job) in schedule
+        for (arrival, work_outcome) in schedule
             .arrivals
             .iter()
             .zip(&work_outcomes(&outcome.events, schedule.arrivals.len()))
         {
             let latency_target = arrival.class().latency_target;
-            total.count(job, latency_target);
-            classes[arrival.class].count(job, latency_target);
-            plans[schedule.customers[arrival.customer as usize].plan].count(job, latency_target);
+            total.count(work_outcome, latency_target);
+            classes[arrival.class].count(work_outcome, latency_target);
+            plans[schedule.customers[arrival.customer as usize].plan]
+                .count(work_outcome, latency_target);
         }
         let mut plans: Vec<Row> = plans.into_iter().map(RowBuilder::finish).collect();
         for (row, (sent, beyond)) in plans
@@ -237,13 +241,13 @@
         {
             row.beyond_quota = (sent > 0.0).then_some(beyond / sent);
         }
-        let mut asked = vec![0; outcome.usage.len()];
+        let mut requests = vec![0; outcome.usage.len()];
         let (mut attempts, mut repeated_effects, mut late) = (0, 0, 0);
         for event in &outcome.events {
             match &event.kind {
-                EventKind::RequestSent { limiter, .. } => asked[*limiter] += 1,
+                EventKind::RequestSent { limiter, .. } => requests[*limiter] += 1,
                 EventKind::AttemptReceived { .. } => attempts += 1,
-                EventKind::AttemptExecuted {
+                EventKind::AttemptDequeued {
                     repeated_effect: true,
                     ..
                 } => repeated_effects += 1,
@@ -255,18 +259,18 @@
             outcome
                 .usage
                 .iter()
-                .zip(&asked)
+                .zip(&requests)
                 .enumerate()
-                .map(|(limiter, (usage, asked))| {
+                .map(|(limiter, (usage, requests))| {
                     let Usage {
                         cpu_ms,
                         peak_kib,
                         starts,
                     } = *usage;
-                    let cpu_us_per_request = cpu_ms * 1000.0 / (*asked as f64).max(1.0);
+                    let cpu_us_per_request = cpu_ms * 1000.0 / (*requests as f64).max(1.0);
                     LimiterRow {
                         limiter,
-                        asked: *asked,
+                        asked: *requests,
                         cpu_ms,
                         cpu_us_per_request,
                         peak_kib,
@@ -302,14 +306,14 @@
             "p99 ms",
             "beyond quota",
         ];
-        let mut job = table(&header);
+        let mut work = table(&header);
         for row in [&self.total]
             .into_iter()
             .chain(&self.classes)
             .chain(&self.plans)
         {
             if row.asked > 0 {
-                job.add_row(row.cells());
+                work.add_row(row.cells());
             }
         }
         let header = [
@@ -337,7 +341,7 @@
         }
         let late = match self.stand_ins_late_ms {
             late if late > 0.0 => format!("the stand-ins ran up to {late:.0} ms late"),
-            _ => "the stand-ins kept time".into(),
+            _ => "the stand-ins ran on time".into(),
         };
         let cut = if self.cut_short {
             "; the run was cut short: its trace was full"
@@ -346,8 +350,8 @@
         };
         let (name, seed, length) = (&self.scenario, self.seed, self.seconds);
         format!(
-            "{name}, seed {seed}, {length} s\n{job}\n{limiters}\n{rules}\n{} attempts at servers; {} effects had \
-             again over clients' own tries; {late}{cut}",
+            "{name}, seed {seed}, {length} s\n{work}\n{limiters}\n{rules}\n{} attempts at servers; {} repeated \
+             effects over all requests of clients; {late}{cut}",
             self.attempts, self.repeated_effects
         )
     }
@@ -383,10 +387,10 @@
 pub fn describe_finding(finding: &Finding) -> String {
     match (finding.violations, finding.uncertain) {
         (0, 0) => "held".into(),
-        (0, late) => format!("late: {late} times, while the stand-ins ran late"),
+        (0, late) => format!("uncertain: {late} violations, all while the stand-ins ran late"),
         (broken, 0) => format!("BROKEN {broken} times"),
         (broken, late) => {
-            format!("BROKEN {broken} times; {late} more while the stand-ins ran late")
+            format!("BROKEN {broken} times, and {late} more while the stand-ins ran late")
         }
     }
 }
@@ -440,7 +444,7 @@
     pub served: f64,
     /// Responses with status 429 or 503, per second.
     pub refused: f64,
-    /// Requests with any other end except cancelled and unreachable ones, per second.
+    /// Requests that ended in any other way, per second, without those that were cancelled or reached no limiter.
     pub failed: f64,
     /// Median time of the requests served in this bin, in milliseconds.
     pub p50_ms: f64,
@@ -456,7 +460,7 @@
     let count = length.div_ceil(TIME_BIN) as usize;
     let mut bins = vec![TimeBin::default(); count];
     let mut times: Vec<Vec<f64>> = vec![Vec::new(); count];
-    let mut asked: BTreeMap<RequestId, Micros> = BTreeMap::new();
+    let mut sent_at: BTreeMap<RequestId, Micros> = BTreeMap::new();
     let rate = SECOND as f64 / TIME_BIN as f64;
     for event in events {
         let at = (event.at / TIME_BIN) as usize;
@@ -465,7 +469,7 @@
         };
         match &event.kind {
             EventKind::RequestSent { request, .. } => {
-                asked.insert(*request, event.at);
+                sent_at.insert(*request, event.at);
                 bin.asked += rate;
             }
             EventKind::Responded {
@@ -474,7 +478,7 @@
                 ..
             } => {
                 bin.served += rate;
-                let time = asked.get(request).map_or(0, |asked| event.at - asked);
+                let time = sent_at.get(request).map_or(0, |sent_at| event.at - sent_at);
                 times[at].push(time as f64 / 1000.0);
             }
             EventKind::Responded {
@@ -513,10 +517,11 @@
         assert_eq!(percentile(&[], 0.5), 0.0);
     }
 
-    /// A piece of work that is rejected once and then served is in time or late as counted from its first request.
+    /// A piece of work that is rejected once and then served counts as late if the time from its first request to the
+    /// response exceeds the latency target.
     #[test]
     fn a_retry_counts_from_the_first_request() {
-        let asked = |number, at| Event {
+        let sent = |number, at| Event {
             at,
             kind: EventKind::RequestSent {
                 request: RequestId(number),
@@ -531,7 +536,7 @@
                 reused: false,
             },
         };
-        let answered = |number, at, status| Event {
+        let response = |number, at, status| Event {
             at,
             kind: EventKind::Responded {
                 request: RequestId(number),
@@ -541,10 +546,10 @@
             },
         };
         let events = [
-            asked(0, 0),
-            answered(0, 1000, 429),
-            asked(1, 300_000),
-            answered(1, 450_000, 200),
+            sent(0, 0),
+            response(0, 1000, 429),
+            sent(1, 300_000),
+            response(1, 450_000, 200),
         ];
         let work_outcomes = work_outcomes(&events, 1);
         let mut builder = RowBuilder::default();
--- a/crates/emberpin-testbed/src/scenario.rs
+++ b/crates/emberpin-testbed/src/scenario.rs
@@ -56,7 +56,8 @@
     /// Time after which a server closes an idle connection, in seconds.
     pub idle_s: f64,
     /// Share of its capacity that a cold server has when it starts.
-    pub cold_from: f64,
+    #[serde(rename = "cold_from")]
+    pub initial_capacity_share: f64,
     /// Time until a cold server is warm, in seconds.
     pub warm_s: f64,
     /// Whether all servers start cold when the load begins.
@@ -70,13 +71,13 @@
     /// Whether all limiters reach a server at one address. This is required where limiters exchange endpoint lists;
     /// links to zones cannot be cut then.
     pub one_address: bool,
-    /// Group size in the limiters' settings; 0 for the actual number of limiters.
+    /// Number of limiters that the limiters' settings state; 0 for the actual number.
     #[serde(rename = "told_limiters")]
     pub configured_limiters: usize,
     /// Capacity of the discovery service in calls a second, shared by all pending calls; 0 for unlimited.
     #[serde(rename = "list_power")]
     pub discovery_rate: f64,
-    /// Time-out of a pending discovery call, in seconds; a timed-out call has used the capacity that it was given.
+    /// Time-out of a pending discovery call, in seconds; the capacity that was given to a timed-out call is lost.
     #[serde(rename = "list_patience_s")]
     pub discovery_timeout_s: f64,
     /// Whether endpoint lists are sent as indented JSON over several lines.
@@ -106,7 +107,7 @@
             queue: 40,
             connections: 1000,
             idle_s: 15.0,
-            cold_from: 0.35,
+            initial_capacity_share: 0.35,
             warm_s: 8.0,
             cold: false,
             start_together: false,
@@ -150,7 +151,7 @@
     /// Share of clients that cancel their first request before its time limit.
     #[serde(rename = "impatient")]
     pub cancel_share: f64,
-    /// Interval at which the limiter that gets most of a customer's requests changes, in seconds.
+    /// Interval at which each customer's requests shift to another main limiter, in seconds.
     pub shift_s: f64,
     /// How long clients keep using a limiter that is down before they notice, in seconds.
     pub front_notice_s: f64,
@@ -160,7 +161,7 @@
     pub repeat_after_ms: [f64; 2],
     /// Size of a request body in bytes.
     pub body: usize,
-    /// Factor on the work of all requests, to make a run cheap or servers slow.
+    /// Factor on the work of all requests: below 1 it makes a run cheap, above 1 it makes the servers slow.
     pub work: f64,
 }
 
@@ -286,7 +287,7 @@
     ServerResponsesFaulty {
         /// The server's number, from 0.
         server: usize,
-        /// The kind of falsification or response fault.
+        /// What is wrong with the responses.
         response_fault: ResponseFault,
         /// The affected share.
         share: f64,
@@ -305,7 +306,7 @@
         /// The server's number, from 0.
         server: usize,
     },
-    /// Cuts all servers of a zone off; they restart cold.
+    /// Disconnects all servers of a zone at once; they restart cold.
     ZoneLost {
         /// The zone's number, from 0.
         zone: usize,
@@ -364,7 +365,7 @@
     },
     /// Makes the discovery service send false full lists.
     DiscoveryListFaulty {
-        /// The kind of falsification or response fault.
+        /// How the lists are falsified.
         list_fault: EndpointListFault,
         /// The limiters that get false lists; all if absent.
         group: Option<Vec<usize>>,
@@ -378,7 +379,8 @@
         /// How long the fault lasts.
         length: Micros,
     },
-    /// Stops a limiter when its first incarnation reaches a point of its code for the Nth time; test builds only.
+    /// Makes a limiter pause itself with SIGSTOP when its first incarnation reaches a point of its code for the Nth
+    /// time; only in builds with debug assertions.
     LimiterStopsAtPoint {
         /// The limiter's number, from 0.
         limiter: usize,
@@ -386,10 +388,10 @@
         point: String,
         /// How long the fault lasts.
         length: Micros,
-        /// If present, the limiter is killed after the stop instead of resumed, and restarts after this time.
+        /// If present, the limiter is killed at the end of the pause instead of resumed, and restarts after this time.
         restart_after: Option<Micros>,
     },
-    /// Makes the disk under a limiter's log faulty in all its incarnations; test builds only.
+    /// Makes the disk that holds a limiter's log faulty in all its incarnations; only in builds with debug assertions.
     DiskFaulty {
         /// The limiter's number, from 0.
         limiter: usize,
@@ -547,7 +549,7 @@
     /// If the scenario file that is built into the program is invalid; a test parses it.
     pub fn calm() -> Scenario {
         Scenario::parse("calm.toml", include_str!("../scenarios/calm.toml"))
-            .expect("the built-in scenario is sound")
+            .expect("the built-in scenario is valid")
     }
 
     /// Reads a scenario from a file.
@@ -650,7 +652,7 @@
         range("speed", self.speed, 0.01, 100.0)?;
         range("notice_ms", self.notice_ms, 0.0, 60_000.0)?;
         number("idle_s", self.idle_s, 0.1, 3600.0)?;
-        number("cold_from", self.cold_from, 0.01, 1.0)?;
+        number("cold_from", self.initial_capacity_share, 0.01, 1.0)?;
         number("warm_s", self.warm_s, 0.0, 3600.0)?;
         number("report_ms", self.report_ms, 1.0, 60_000.0)?;
         number("connect_timeout_ms", self.connect_timeout_ms, 1.0, 60_000.0)?;
--- a/crates/emberpin-testbed/src/scenario/error.rs
+++ b/crates/emberpin-testbed/src/scenario/error.rs
@@ -74,7 +74,7 @@
         name: &'static str,
     },
     /// A fault has a value that it does not use.
-    #[error("found {name}, which this fault has no use for; take it out")]
+    #[error("found {name}, which this fault does not use: remove it")]
     Unused {
         /// The key of the value in its table.
         name: &'static str,
--- a/crates/emberpin-testbed/src/scenario/fault_table.rs
+++ b/crates/emberpin-testbed/src/scenario/fault_table.rs
@@ -67,7 +67,7 @@
             })
     }
 
-    /// Parses the field `how` as one of the values that this kind of fault knows.
+    /// Parses the field `how` as one of the words that this kind of fault allows.
     fn how<T: for<'a> Deserialize<'a>>(&mut self) -> Result<T, Problem> {
         let word = required("how", self.raw.how.take())?;
         T::deserialize(toml::Value::String(word.clone())).map_err(|error| {
@@ -92,10 +92,10 @@
         Ok(group)
     }
 
-    /// Rejects fields that this kind of fault does not use, since their author expects an effect.
+    /// Rejects fields that this kind of fault does not use: the scenario's author expects them to have an effect.
     fn reject_unused(&self) -> Result<(), Problem> {
         let raw = &self.raw;
-        let left = [
+        let fields = [
             ("limiter", raw.limiter.is_some()),
             ("server", raw.server.is_some()),
             ("hall", raw.zone.is_some()),
@@ -112,7 +112,7 @@
             ("way", raw.direction.is_some()),
             ("group", raw.group.is_some()),
         ];
-        match left.iter().find(|(_, left)| *left) {
+        match fields.iter().find(|(_, is_left)| *is_left) {
             None => Ok(()),
             Some((name, _)) => Err(Problem::Unused { name }),
         }
--- a/crates/emberpin-testbed/src/scenario/fault_text.rs
+++ b/crates/emberpin-testbed/src/scenario/fault_text.rs
@@ -31,7 +31,7 @@
             Fault::ServerReplaced { server } => write!(formatter, "server {server} replaced"),
             Fault::ServerDrained { server, .. } => write!(formatter, "server {server} drained"),
             Fault::ServerStalled { server, .. } => {
-                write!(formatter, "server {server} stands still")
+                write!(formatter, "server {server} stalled")
             }
             Fault::ServerResponsesFaulty {
                 server,
@@ -41,7 +41,7 @@
             } => {
                 write!(
                     formatter,
-                    "server {server} spoils {:.0} % of its answers: {response_fault:?}",
+                    "server {server} sends {:.0} % faulty responses: {response_fault:?}",
                     share * 100.0
                 )
             }
@@ -90,12 +90,12 @@
                     loss * 100.0
                 )
             }
-            Fault::DiscoverySilent { .. } => formatter.write_str("discovery silent"),
-            Fault::DiscoveryDead { .. } => formatter.write_str("the list service dead"),
+            Fault::DiscoverySilent { .. } => formatter.write_str("the discovery service is silent"),
+            Fault::DiscoveryDead { .. } => formatter.write_str("the discovery service is down"),
             Fault::DiscoveryListFaulty { list_fault, .. } => {
                 write!(
                     formatter,
-                    "the list service tells an untrue list: {list_fault:?}"
+                    "the discovery service sends a false list: {list_fault:?}"
                 )
             }
             Fault::LimiterPaused { limiter, length } => {
@@ -111,19 +111,19 @@
             } => {
                 write!(
                     formatter,
-                    "the disk of limiter {limiter} is to lie: {disk_fault}"
+                    "the disk of limiter {limiter} will be faulty: {disk_fault}"
                 )
             }
             Fault::LimiterStopsAtPoint { limiter, point, .. } => {
-                write!(formatter, "limiter {limiter} is to stop at {point}")
+                write!(formatter, "limiter {limiter} will stop at {point}")
             }
-            Fault::LimiterHungUp { limiter } => write!(formatter, "limiter {limiter} hung up"),
+            Fault::LimiterHungUp { limiter } => write!(formatter, "SIGHUP to limiter {limiter}"),
             Fault::DiscoveryCallersKilled {
                 count,
                 restart_after,
             } => {
                 write!(formatter,
-                "the next {count} callers of the list service killed as they call, back after {:.1} s",
+                "the next {count} callers of the discovery service killed as they call, back after {:.1} s",
                 seconds(*restart_after)
             )
             }
@@ -138,12 +138,12 @@
                 )
             }
             Fault::CustomersMove { share } => {
-                write!(formatter, "{:.0} % of the firms move", share * 100.0)
+                write!(formatter, "{:.0} % of the customers move", share * 100.0)
             }
             Fault::CustomerFloods { plan, times, .. } => {
                 write!(
                     formatter,
-                    "a firm of plan {} asks {times} times its quota",
+                    "a customer of plan {} sends {times} times its quota",
                     crate::figures::PLANS[*plan].name
                 )
             }
--- a/crates/emberpin-testbed/src/servers.rs
+++ b/crates/emberpin-testbed/src/servers.rs
@@ -20,9 +20,9 @@
 use tokio::sync::{watch, Semaphore};
 use tokio::task::{spawn_local, JoinHandle};
 
-/// The first port that is allocated; below the operating system's range of ephemeral ports.
+/// The first port that is allocated, below the operating system's range of ephemeral ports.
 const FIRST_PORT: u16 = 10_000;
-/// Attempts to listen at an address that is in use, one millisecond apart.
+/// Maximum number of attempts to listen at an address that is in use; they are one millisecond apart.
 const MAX_LISTEN_ATTEMPTS: usize = 2000;
 /// The pause of a trickling server between two bytes.
 const TRICKLE_INTERVAL: Duration = Duration::from_millis(100);
@@ -43,15 +43,16 @@
     pub host: Ipv4Addr,
     /// Links between limiters and zones, by limiter, then zone.
     pub links: Vec<Vec<ZoneLink>>,
-    ports: Cell<u16>,
-    attempts: Cell<u32>,
-    incarnations: Cell<u32>,
-    /// For each zone, when it last ran the work of each key.
+    next_port: Cell<u16>,
+    next_attempt: Cell<u32>,
+    next_incarnation: Cell<u32>,
+    /// For each zone, when its servers last ran the work of each key.
     deduplication: RefCell<Vec<HashMap<u32, Micros>>>,
     /// Keys whose work has run on any server.
     executed_keys: RefCell<HashSet<u32>>,
     meter: RefCell<Meter>,
-    /// The limiter that each request was sent to, kept if all limiters reach a server at one address.
+    /// The limiter that each request was sent to. Only filled if all limiters reach a server at one address, so that
+    /// the address does not tell the limiter.
     limiter_by_request: RefCell<HashMap<RequestId, usize>>,
 }
 
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Units used in the last period whose usage is known by now; `None` before the first.
+    /// Units used in the last period whose usage is known by now; `None` if there is no such period yet.
     fn last_known_period(&self, customer: u32, now: Micros) -> Option<f64> {
         let period = (now.checked_sub(METER_DELAY)? / METER_PERIOD).checked_sub(1)?;
         let periods = self.usage_by_customer.get(&customer)?;
@@ -118,9 +119,9 @@
             recorder,
             host,
             links,
-            ports: Cell::new(FIRST_PORT),
-            attempts: Cell::new(0),
-            incarnations: Cell::new(0),
+            next_port: Cell::new(FIRST_PORT),
+            next_attempt: Cell::new(0),
+            next_incarnation: Cell::new(0),
             deduplication,
             executed_keys: RefCell::default(),
             meter: RefCell::default(),
@@ -138,8 +139,8 @@
     /// No port is left.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         loop {
-            let port = self.ports.get();
-            self.ports.set(
+            let port = self.next_port.get();
+            self.next_port.set(
                 port.checked_add(1)
                     .ok_or(std::io::ErrorKind::AddrNotAvailable)?,
             );
@@ -157,7 +158,7 @@
         server % self.scenario.site.halls
     }
 
-    fn next(counter: &Cell<u32>) -> u32 {
+    fn take_number(counter: &Cell<u32>) -> u32 {
         counter.replace(counter.get() + 1)
     }
 }
@@ -180,7 +181,7 @@
     server: usize,
     /// The incarnation's number.
     pub incarnation: Incarnation,
-    /// Start time in Unix milliseconds; 0 if the server started long ago.
+    /// Start time in Unix milliseconds; 0 for a server that starts warm, as if it had started long ago.
     pub boot_ms: f64,
     started_at: Micros,
     warm_after: Micros,
@@ -188,7 +189,8 @@
     crashed: watch::Sender<bool>,
     /// The tasks that own the listeners.
     accept_tasks: RefCell<Vec<JoinHandle<()>>>,
-    /// The generation of the current addresses; connections to addresses of an earlier one end when idle.
+    /// The oldest generation of addresses that is still open; a move to new addresses starts a generation. Listeners
+    /// and idle connections of earlier generations close.
     address_generation: watch::Sender<u32>,
     refusing: watch::Sender<bool>,
     stalled: watch::Sender<bool>,
@@ -229,7 +231,7 @@
         Ok(Rc::new(server))
     }
 
-    /// Listens at new addresses; the old ones stay open until [`Process::close_old_addresses`].
+    /// Listens at new addresses as well; the old ones stay open until [`Process::close_old_addresses`].
     ///
     /// # Errors
     ///
@@ -295,7 +297,7 @@
         let process = Rc::new(Process {
             world: world.clone(),
             server: self.number,
-            incarnation: Incarnation(World::next(&world.incarnations)),
+            incarnation: Incarnation(World::take_number(&world.next_incarnation)),
             boot_ms: if cold {
                 unix.as_secs_f64() * 1000.0
             } else {
@@ -325,7 +327,7 @@
             incarnation: process.incarnation,
             server: self.number,
             capacity: process.speed * site.cores as f64,
-            cold_from: site.cold_from,
+            initial_capacity_share: site.initial_capacity_share,
             warm_after: process.warm_after,
         });
         self.listen(&process, 0).await?;
@@ -347,8 +349,8 @@
     }
 }
 
-/// Listens at an address of this run. A child process that is being spawned may hold a copy of a listener that was
-/// closed here until its `exec`; the address is then in use for a moment, and listening is tried again.
+/// Listens at an address of this run, and retries while the address is in use: a child process that is being spawned
+/// holds copies of this process's listeners until its `exec`, including listeners that are closed here meanwhile.
 async fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let bind = || {
         let socket = TcpSocket::new_v4()?;
@@ -408,8 +410,8 @@
             return 1.0;
         }
         let part = now.saturating_sub(self.started_at) as f64 / self.warm_after as f64;
-        let from = self.world.scenario.site.cold_from;
-        from + (1.0 - from) * part.min(1.0)
+        let initial = self.world.scenario.site.initial_capacity_share;
+        initial + (1.0 - initial) * part.min(1.0)
     }
 
     async fn accept(
@@ -438,20 +440,25 @@
                     listener = if refuses { None } else { listen(address).await.ok() };
                 }
                 accepted = accepting => if let Ok((stream, _)) = accepted {
-                    spawn_local(self.clone().connection(limiter, address_generation, Wire::new(stream)));
+                    spawn_local(self.clone().serve_connection(limiter, address_generation, Wire::new(stream)));
                 },
             }
         }
     }
 
-    async fn connection(self: Rc<Self>, limiter: usize, address_generation: u32, mut wire: Wire) {
+    async fn serve_connection(
+        self: Rc<Self>,
+        limiter: usize,
+        address_generation: u32,
+        mut wire: Wire,
+    ) {
         self.connections.set(self.connections.get() + 1);
         self.world.recorder.record(EventKind::ServerConnected {
             incarnation: self.incarnation,
             limiter,
         });
         let mut crashed = self.crashed.subscribe();
-        // The attempt in flight on this connection.
+        // The attempt in flight on this connection, if any.
         let in_flight = Cell::new(None);
         let ended = tokio::select! {
             biased;
@@ -517,11 +524,12 @@
                 }
                 continue;
             }
-            let attempt = AttemptId(World::next(&world.attempts));
+            let attempt = AttemptId(World::take_number(&world.next_attempt));
             let request_id = head
                 .header("req-id")
                 .and_then(|id| world.schedule.parse_id(id));
-            // If all limiters use one address, the limiter is known from the request that the client sent.
+            // If all limiters reach the server at one address, the limiter is the one that the client sent the request
+            // to.
             let target = request_id.filter(|_| world.scenario.site.one_address);
             let target = target
                 .and_then(|request_id| world.limiter_by_request.borrow().get(&request_id).copied());
@@ -535,7 +543,7 @@
                 },
             );
             in_flight.set(Some(attempt));
-            // The request is still on its way; a limiter that closes the connection meanwhile has cancelled it.
+            // The link carries the request to the server; a limiter that closes the connection meanwhile cancels it.
             let arrives = async {
                 link.carry_request().await;
                 self.wait_while_stalled().await;
@@ -586,11 +594,11 @@
                     reply
                 } => reply,
             };
-            if let Some(over) = self
+            if let Some(ended) = self
                 .write_reply(wire, attempt, request_id, reply, in_flight)
                 .await
             {
-                return over;
+                return ended;
             }
         }
     }
@@ -639,7 +647,7 @@
             + heaviest_request
     }
 
-    /// Processes a request: queues for a core, deduplicates within the zone, and works.
+    /// Processes a request: waits for a core, deduplicates within the zone, and sleeps for the duration of the work.
     async fn process_request(
         &self,
         attempt: AttemptId,
@@ -685,7 +693,7 @@
         // Requests of a safe class have no effect that could be repeated.
         let effect = arrival.class().repeat != Repeat::Safe && !deduplicated;
         let repeated_effect = effect && !world.executed_keys.borrow_mut().insert(arrival.key);
-        world.recorder.record(EventKind::AttemptExecuted {
+        world.recorder.record(EventKind::AttemptDequeued {
             attempt,
             repeated_effect,
             deduplicated,
@@ -707,7 +715,7 @@
         ))
     }
 
-    /// Writes the response, which may be faulty; returns how the connection ended, if it did.
+    /// Writes the response, which a fault may falsify; returns how the connection ended, if it did.
     async fn write_reply(
         &self,
         wire: &mut Wire,
--- a/crates/emberpin-testbed/src/settings.rs
+++ b/crates/emberpin-testbed/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings that limiters get: the classes, plans and rules of the simulated site.
 
 use crate::figures::{
-    hall_name, Class, Plan, Repeat, CLASSES, DEDUP_WINDOW, DRAIN_GRACE, MAX_RETRY_AFTER,
+    zone_name, Class, Plan, Repeat, CLASSES, DEDUP_WINDOW, DRAIN_GRACE, MAX_RETRY_AFTER,
     METER_PERIOD, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, PLANS,
 };
 use crate::scenario::Site;
@@ -30,7 +30,7 @@
             "overrun-cost": if plan.price < 1.0 { 0.0 } else { 0.5 },
         })
     };
-    let halls: Vec<String> = (0..site.halls).map(hall_name).collect();
+    let halls: Vec<String> = (0..site.halls).map(zone_name).collect();
     let group_size = if site.configured_limiters == 0 {
         site.limiters
     } else {
@@ -51,7 +51,7 @@
             "shared-counter": false,
         },
         "rules": {
-            "cold-from": site.cold_from, "warm-after-ms": site.warm_s * 1000.0, "fall-multiple": OVERLOAD_MULTIPLE,
+            "cold-from": site.initial_capacity_share, "warm-after-ms": site.warm_s * 1000.0, "fall-multiple": OVERLOAD_MULTIPLE,
             "overload-for-ms": OVERLOAD_WINDOW as f64 / 1000.0, "drain-grace-ms": DRAIN_GRACE as f64 / 1000.0,
         },
         "prices": {"cross-zone": 0.005, "peer": 0.02},
--- a/crates/emberpin-testbed/src/shared_capacity.rs
+++ b/crates/emberpin-testbed/src/shared_capacity.rs
@@ -1,5 +1,5 @@
-//! The capacity of a service, shared equally by all pending calls (processor sharing). A call that has waited longer
-//! than the time limit fails; the capacity that it was given until then is lost.
+//! The capacity of a service, shared equally by all pending calls (processor sharing). A call that is not done within
+//! the time limit fails; the capacity that it was given until then is lost.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -109,15 +109,15 @@
         pending
             .iter_mut()
             .for_each(|call| call.remaining_work -= share);
-        let mut remaining_work = Vec::new();
+        let mut unfinished = Vec::new();
         for call in pending.drain(..) {
             match call.remaining_work <= 1e-9 {
                 // The caller may be gone.
                 true => _ = call.done.send(true),
-                false => remaining_work.push(call),
+                false => unfinished.push(call),
             }
         }
-        *pending = remaining_work;
+        *pending = unfinished;
     }
 }
 
--- a/crates/emberpin-testbed/src/start_summary.rs
+++ b/crates/emberpin-testbed/src/start_summary.rs
@@ -166,7 +166,7 @@
             EventKind::ServerStarted {
                 incarnation,
                 capacity,
-                cold_from: initial_share,
+                initial_capacity_share: initial_share,
                 warm_after,
                 ..
             } if warm_after > 0 => {
--- a/crates/emberpin-testbed/src/trace.rs
+++ b/crates/emberpin-testbed/src/trace.rs
@@ -72,10 +72,12 @@
     Crashed,
 }
 
-/// What happened, with the details of each kind of event.
+/// What happened, with the details of each kind of event. In the serialized form of an event's details, `what` is a
+/// request's id, `life` is an incarnation, and `how` tells how an attempt or a process ended.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum EventKind {
-    /// A client sent a request: its last byte was written to a connection that the limiter's machine had accepted.
+    /// A client sent a request: it wrote the last byte to an established connection. The kernel establishes connections
+    /// to a listening limiter, so that the limiter's process may not have accepted this one yet.
     #[serde(rename = "Asked")]
     RequestSent {
         /// The request's id, chosen by the client.
@@ -110,7 +112,7 @@
         request: RequestId,
         /// The HTTP status of the response.
         status: u16,
-        /// `false` if the status is 200 and the body is not one that a server sent for this request; otherwise `true`.
+        /// Whether a 200 has a body that a server sent for this request; always `true` for other statuses.
         #[serde(rename = "sound")]
         valid: bool,
         /// The time that the limiter asks the client to wait before a retry.
@@ -179,9 +181,9 @@
         /// Work of the request, in core milliseconds at reference speed.
         work: f64,
     },
-    /// A server started an attempt's work, or skipped it as a duplicate.
+    /// A server took an attempt from its queue, and either starts the work or skips it as a duplicate.
     #[serde(rename = "Ran")]
-    AttemptExecuted {
+    AttemptDequeued {
         /// The id of the attempt at a server.
         attempt: AttemptId,
         /// Whether the work of this key had already run on any server, so that this is a repeated effect.
@@ -210,8 +212,9 @@
         server: usize,
         /// Core milliseconds of work at reference speed that a warm server does in a millisecond.
         capacity: f64,
-        /// The share of the capacity at the start; it rises linearly to 1.
-        cold_from: f64,
+        /// The share of `capacity` that the server has at its start; it rises linearly to 1 until the server is warm.
+        #[serde(rename = "cold_from")]
+        initial_capacity_share: f64,
         /// The time until the server is warm; 0 if it started warm.
         warm_after: Micros,
     },
@@ -322,7 +325,7 @@
         }
     }
 
-    /// Restarts the clock once the site is up; events recorded before get time 0.
+    /// Restarts the clock once the site is up; events recorded until then get time 0.
     pub fn restart_clock(&self) {
         self.started.set(Instant::now());
         self.events
--- a/crates/emberpin-testbed/src/zone_link.rs
+++ b/crates/emberpin-testbed/src/zone_link.rs
@@ -1,5 +1,5 @@
-//! The links between limiters and zones, and their faults. A link is a gate inside the stand-in server: requests and
-//! responses that a socket has already accepted wait here as if they were still on the network.
+//! The links between limiters and zones, and their faults. A link is simulated inside the stand-in server: requests
+//! that its socket has received, and responses before they are written, wait here as if they were still on the network.
 
 use crate::scenario::LinkDirection;
 use crate::trace::Micros;
@@ -27,13 +27,13 @@
         self.delay.set(delay);
     }
 
-    /// Returns when a request that leaves the limiter now arrives at the server.
+    /// Returns at the time at which a request that leaves the limiter now arrives at the server.
     pub async fn carry_request(&self) {
         self.wait_until_passable(|direction| direction != LinkDirection::Back)
             .await;
     }
 
-    /// Returns when a response that leaves the server now arrives at the limiter.
+    /// Returns at the time at which a response that leaves the server now arrives at the limiter.
     pub async fn carry_response(&self) {
         self.wait_until_passable(|direction| direction != LinkDirection::Out)
             .await;
--- a/crates/emberpin-testbed/tests/catches.rs
+++ b/crates/emberpin-testbed/tests/catches.rs
@@ -14,7 +14,7 @@
 use site_slots::SiteSlot;
 use std::path::PathBuf;
 
-/// A small site with ample time, so that the results do not depend on the speed of the machine.
+/// A small site with a light load and long time limits, so that the results do not depend on the machine's speed.
 const SITE: &str = "\
     name = \"t\"\nabout = \"A test's own site.\"\nseed = SEED\nseconds = 1.5\n\
     [site]\nlimiters = 1\nservers = 3\nnotice_ms = [1, 5]\nerror_rate = 0.0\nwarm_s = 20\ncold_from = 0.1\n\
@@ -46,11 +46,11 @@
 
 fn run_site(program: &Program, seed: u64, faults: &str) -> Outcome {
     let text = format!("{}{faults}", SITE.replace("SEED", &seed.to_string()));
-    let scenario = Scenario::parse("test", &text).expect("sound");
+    let scenario = Scenario::parse("test", &text).expect("a valid scenario");
     let outcome = run_in_slot(&scenario, program).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     assert!(
         outcome.events.len() > 300,
-        "the run has events: {} events",
+        "too few events: {}",
         outcome.events.len()
     );
     outcome
@@ -66,9 +66,10 @@
         .collect()
 }
 
-/// Asserts that a defect is found with several seeds, under one rule and with `how` in the message.
+/// Asserts that a defect is found with several seeds, under one rule and with `text` in the message, and that neither
+/// a limiter without a defect nor the real one violates a rule.
 #[track_caller]
-fn assert_caught(name: &str, faults: &str, rule: Rule, how: &str) {
+fn assert_caught(name: &str, faults: &str, rule: Rule, text: &str) {
     for seed in 1..=3 {
         let outcome = run_site(&defective_limiter(name), seed, faults);
         let verdict = &outcome.verdict;
@@ -80,7 +81,7 @@
         );
         let first = verdict.finding(rule).first.as_ref().expect("a violation");
         assert!(
-            first.message.contains(how),
+            first.message.contains(text),
             "{name}, seed {seed}: {}",
             first.message
         );
@@ -91,14 +92,14 @@
     assert_eq!(
         violated_rules(&outcome),
         [],
-        "nothing wrong, {faults}:{}",
+        "limiter without a defect, {faults}:{}",
         violation_histories(&outcome.verdict)
     );
     let outcome = run_site(&real_limiter(), 1, faults);
     assert_eq!(
         violated_rules(&outcome),
         [],
-        "the real one, {faults}:{}",
+        "real limiter, {faults}:{}",
         violation_histories(&outcome.verdict)
     );
 }
@@ -127,7 +128,12 @@
 
 #[test]
 fn overlapping_attempts_are_caught() {
-    assert_caught("sends-twice", "", Rule::Effects, "while the first was out");
+    assert_caught(
+        "sends-twice",
+        "",
+        Rule::Effects,
+        "while the first was in flight",
+    );
 }
 
 #[test]
@@ -143,12 +149,17 @@
 
 #[test]
 fn two_responses_to_one_request_are_caught() {
-    assert_caught("answers-twice", "", Rule::Answers, "owed no answer");
+    assert_caught(
+        "answers-twice",
+        "",
+        Rule::Answers,
+        "without a pending request",
+    );
 }
 
 #[test]
 fn an_invented_response_is_caught() {
-    assert_caught("makes-answers-up", "", Rule::Answers, "no server made");
+    assert_caught("makes-answers-up", "", Rule::Answers, "no server sent");
 }
 
 #[test]
@@ -180,9 +191,10 @@
             "test",
             &format!("{}{text}", SITE.replace("SEED", &seed.to_string())),
         )
-        .expect("sound");
+        .expect("a valid scenario");
         scenario.set_seconds(4.0).expect("in bounds");
-        let outcome = run_in_slot(&scenario, &defective_limiter("floods-cold")).expect("plays");
+        let outcome =
+            run_in_slot(&scenario, &defective_limiter("floods-cold")).expect("the scenario runs");
         assert!(
             outcome.verdict.finding(Rule::ColdServers).violations > 0,
             "seed {seed}"
@@ -209,7 +221,7 @@
 
 #[test]
 fn a_limiter_that_does_not_start_ends_the_run_with_an_error() {
-    let scenario = Scenario::parse("test", &SITE.replace("SEED", "1")).expect("sound");
+    let scenario = Scenario::parse("test", &SITE.replace("SEED", "1")).expect("a valid scenario");
     let missing_program = Program {
         path: PathBuf::from("/nonexistent/limiter"),
         arguments: Vec::new(),
@@ -218,7 +230,7 @@
     };
     let problem = run_in_slot(&scenario, &missing_program)
         .err()
-        .expect("no limiter")
+        .expect("an error, since there is no such program")
         .to_string();
     assert!(
         problem.contains("cannot start /nonexistent/limiter"),
@@ -226,10 +238,10 @@
     );
     let problem = run_in_slot(&scenario, &defective_limiter("what"))
         .err()
-        .expect("ends at once")
+        .expect("an error, since the limiter exits at once")
         .to_string();
     assert!(
-        problem.contains("ended before it was ready") && problem.contains("unknown wrong"),
+        problem.contains("ended before it was ready") && problem.contains("unknown defect"),
         "{problem}"
     );
 }
@@ -238,11 +250,11 @@
 fn a_limiter_that_does_not_restart_ends_the_run_with_an_error() {
     let killed = "[[fault]]\nat_s = 0.2\nwhat = \"limiter-killed\"\nlimiter = 0\nback_s = 0.1\n";
     let text = format!("{}{killed}", SITE.replace("SEED", "1"));
-    let scenario = Scenario::parse("test", &text).expect("sound");
+    let scenario = Scenario::parse("test", &text).expect("a valid scenario");
     let began = std::time::Instant::now();
     let problem = run_in_slot(&scenario, &defective_limiter("starts-once"))
         .err()
-        .expect("it does not start again")
+        .expect("an error, since the limiter does not restart")
         .to_string();
     assert!(
         problem.contains("ended before it was ready") && problem.contains("only once"),
@@ -250,7 +262,7 @@
     );
     assert!(
         began.elapsed() < std::time::Duration::from_secs(30),
-        "bounded: {:?}",
+        "the run must end in time, took {:?}",
         began.elapsed()
     );
 }
--- a/crates/emberpin-testbed/tests/idempotency.rs
+++ b/crates/emberpin-testbed/tests/idempotency.rs
@@ -16,13 +16,13 @@
 
 fn scenario(limiters: usize, seed: u64, faults: &str) -> Scenario {
     let head = format!(
-        "name = \"t\"\nabout = \"Keys asked again.\"\nseed = {seed}\nseconds = 4\n[site]\nlimiters = {limiters}\n\
+        "name = \"t\"\nabout = \"Keys are repeated.\"\nseed = {seed}\nseconds = 4\n[site]\nlimiters = {limiters}\n\
          servers = 6\nnotice_ms = [1, 20]\nwarm_s = 1\n"
     );
-    Scenario::parse("test", &format!("{head}{LOAD}{faults}")).expect("sound")
+    Scenario::parse("test", &format!("{head}{LOAD}{faults}")).expect("a valid scenario")
 }
 
-/// The real limiter with this operator file, or without one.
+/// The real limiter, with or without an operator file; the file is deleted when this is dropped.
 struct LimiterProgram {
     file: Option<PathBuf>,
     /// Whether each limiter has a log, and links connect them.
@@ -77,7 +77,7 @@
     );
 }
 
-/// Checks the load itself: without idempotency it must repeat effects, or the other tests would show nothing.
+/// Checks the load itself: if it repeated no effects without idempotency, the other tests would prove nothing.
 #[test]
 fn without_idempotency_the_load_repeats_effects() {
     let outcome = LimiterProgram {
@@ -113,8 +113,8 @@
     }
 }
 
-/// Customers move all their traffic between limiters in the middle of their bursts, while one limiter is cut off
-/// from the others: the old and the new limiter of a customer are both running.
+/// Customers move all their traffic to another limiter in the middle of their bursts, while one limiter is cut off from
+/// the others. Both the previous and the new limiter of a customer keep running.
 #[test]
 fn customers_that_move_between_limiters_cause_no_repeated_effects() {
     let moves: String = (1..8)
@@ -139,8 +139,8 @@
     }
 }
 
-/// A limiter that is killed restarts without memory, and accepts no new keyed work until every repeat that it could
-/// handle wrongly has expired: here after the whole retention period.
+/// A killed limiter restarts without its keys, and accepts no new keyed work until the keys that it has forgotten have
+/// expired: here for the whole retention period.
 #[test]
 fn a_limiter_restarted_without_memory_causes_no_repeated_effects() {
     let kills = "[[fault]]\nat_s = 0.8\nwhat = \"limiter-killed\"\nlimiter = 0\nback_s = 0.1\n[[fault]]\nat_s = 1.9\n\
@@ -168,28 +168,28 @@
             )
         };
         assert_eq!(outcome.events.iter().filter(killed).count(), 2);
-        let served = outcome
+        let executed = outcome
             .events
             .iter()
             .filter(|e| e.at > 3 * SECOND && e.at < 4 * SECOND)
             .filter(|e| {
                 matches!(
                     e.kind,
-                    EventKind::AttemptExecuted {
+                    EventKind::AttemptDequeued {
                         deduplicated: false,
                         ..
                     }
                 )
             });
         assert!(
-            served.count() > 10,
+            executed.count() > 10,
             "keyed work was running before they were killed"
         );
     }
 }
 
-/// With logs and links, limiters that are killed, split and left by their customers repeat no effect and serve most
-/// work.
+/// With logs and links, limiters repeat no effect and serve most work while some are killed or split from the others
+/// and customers move between them.
 #[test]
 fn limiters_with_logs_and_links_serve_through_kills_moves_and_a_split() {
     let faults = "[[fault]]\nat_s = 0.8\nwhat = \"limiter-killed\"\nlimiter = 0\nback_s = 0.3\n\
--- a/crates/emberpin-testbed/tests/referee.rs
+++ b/crates/emberpin-testbed/tests/referee.rs
@@ -41,7 +41,7 @@
                 incarnation,
                 server,
                 capacity: 2.0,
-                cold_from: 0.25,
+                initial_capacity_share: 0.25,
                 warm_after,
             },
         );
@@ -104,19 +104,19 @@
         request: u32,
         server: u32,
         until: Micros,
-        how: AttemptEnd,
+        attempt_end: AttemptEnd,
     ) {
-        self.sent(at, number, request, server, 40.0);
+        self.attempt_received(at, number, request, server, 40.0);
         self.add(
             until,
             EventKind::AttemptEnded {
                 attempt: AttemptId(number),
-                end: how,
+                end: attempt_end,
             },
         );
     }
 
-    fn sent(&mut self, at: Micros, number: u32, request: u32, server: u32, work: f64) {
+    fn attempt_received(&mut self, at: Micros, number: u32, request: u32, server: u32, work: f64) {
         let attempt = AttemptId(number);
         self.add(
             at,
@@ -136,7 +136,7 @@
         );
         self.add(
             at,
-            EventKind::AttemptExecuted {
+            EventKind::AttemptDequeued {
                 attempt,
                 repeated_effect: false,
                 deduplicated: false,
@@ -162,22 +162,22 @@
     }
 
     #[track_caller]
-    fn assert_no_findings(&self) {
+    fn assert_clean(&self) {
         let verdict = self.check();
-        assert!(verdict.has_no_findings(), "{verdict:#?}");
+        assert!(verdict.is_clean(), "{verdict:#?}");
     }
 
     /// Asserts that the trace violates this rule and no other, with `text` in the message.
     #[track_caller]
     fn assert_violation(&self, rule: Rule, text: &str) {
         let verdict = self.check();
-        let broken: Vec<Rule> = verdict
+        let violated_rules: Vec<Rule> = verdict
             .findings
             .iter()
             .filter(|f| f.violations > 0)
             .map(|finding| finding.rule)
             .collect();
-        assert_eq!(broken, [rule], "{verdict:#?}");
+        assert_eq!(violated_rules, [rule], "{verdict:#?}");
         let first = verdict.finding(rule).first.as_ref().expect("a violation");
         assert!(first.message.contains(text), "{}", first.message);
     }
@@ -190,8 +190,8 @@
         trace.request_sent(SECOND, 0, SAFE);
         trace.response_received(SECOND + TIME_LIMIT + TIMING_TOLERANCE + late, 0, 502);
         match allowed {
-            true => trace.assert_no_findings(),
-            false => trace.assert_violation(Rule::Answers, "after the client's time was up"),
+            true => trace.assert_clean(),
+            false => trace.assert_violation(Rule::Answers, "after the client's time limit"),
         }
     }
 }
@@ -206,7 +206,7 @@
             request: RequestId(0),
         },
     );
-    trace.assert_violation(Rule::Answers, "no answer before");
+    trace.assert_violation(Rule::Answers, "no answer within");
     let mut killed = trace.clone();
     killed.add(
         3 * SECOND / 2,
@@ -215,7 +215,7 @@
             end: ProcessEnd::Killed,
         },
     );
-    killed.assert_no_findings();
+    killed.assert_clean();
     let mut other = trace.clone();
     other.add(
         3 * SECOND / 2,
@@ -224,7 +224,7 @@
             end: ProcessEnd::Killed,
         },
     );
-    other.assert_violation(Rule::Answers, "no answer before");
+    other.assert_violation(Rule::Answers, "no answer within");
     let mut before = trace;
     before.add(
         SECOND / 2,
@@ -233,7 +233,7 @@
             end: ProcessEnd::Killed,
         },
     );
-    before.assert_violation(Rule::Answers, "no answer before");
+    before.assert_violation(Rule::Answers, "no answer within");
     let mut cancelled = TraceBuilder::new();
     cancelled.request_sent(SECOND, 0, KEYED);
     cancelled.add(
@@ -242,7 +242,7 @@
             request: RequestId(0),
         },
     );
-    cancelled.assert_no_findings();
+    cancelled.assert_clean();
 }
 
 #[test]
@@ -257,23 +257,23 @@
         },
     );
     trace.assert_violation(Rule::Answers, "ended with no answer");
-    // SIGTERM excuses no lost request, nor does SIGKILL after the shutdown time-out.
-    for how in [
+    // A request that is lost at a shutdown stays a violation, also if SIGKILL follows the shutdown time-out.
+    for process_end in [
         ProcessEnd::ShutDown,
         ProcessEnd::ShutdownTimedOut,
         ProcessEnd::Crashed,
     ] {
-        let mut cancelled = trace.clone();
-        cancelled.add(
+        let mut stopped = trace.clone();
+        stopped.add(
             SECOND + 5,
             EventKind::LimiterStopped {
                 limiter: 0,
-                end: how,
+                end: process_end,
             },
         );
         assert!(
-            cancelled.check().finding(Rule::Answers).violations > 0,
-            "{how:?}"
+            stopped.check().finding(Rule::Answers).violations > 0,
+            "{process_end:?}"
         );
     }
     let mut killed = trace;
@@ -284,11 +284,11 @@
             end: ProcessEnd::Killed,
         },
     );
-    killed.assert_no_findings();
+    killed.assert_clean();
 }
 
-/// The sockets of a killed process stay open for a moment: a request sent then is left to the client. The next
-/// incarnation has no such excuse.
+/// The sockets of a killed process stay open for a moment, and a request sent then is left to the client's retry. A
+/// request lost by the next incarnation is a violation.
 #[test]
 fn a_lost_request_is_excused_just_after_a_kill_but_not_at_the_next_incarnation() {
     let mut trace = TraceBuilder::new();
@@ -307,7 +307,7 @@
             partial_response: false,
         },
     );
-    trace.assert_no_findings();
+    trace.assert_clean();
     trace.add(SECOND + 100, EventKind::LimiterReady { limiter: 0 });
     trace.assert_violation(Rule::Answers, "ended with no answer");
     let mut later = TraceBuilder::new();
@@ -329,8 +329,8 @@
     later.assert_violation(Rule::Answers, "ended with no answer");
 }
 
-/// A limiter may close an idle connection just as a request arrives, and the client sends it once more. This excuses
-/// no request that the limiter had read.
+/// A limiter may close an idle connection while a request is on its way, and the client sends the request once more.
+/// This is a violation if the limiter had read the request.
 #[test]
 fn a_request_that_crosses_the_close_of_an_idle_connection_is_excused_unless_it_was_read() {
     let mut trace = TraceBuilder::new();
@@ -353,16 +353,16 @@
         SECOND + 400_010,
         AttemptEnd::Declined,
     );
-    // The attempt starts after the final response. It did not start before the connection ended, so the first
-    // request had not been read.
+    // The attempt starts after the final response, which is a violation. It started long after the connection ended,
+    // so that the limiter counts as not having read the first transmission.
     assert_eq!(
         trace
             .check()
             .finding(Rule::Answers)
             .first
             .as_ref()
-            .map(|b| b.message.as_str()),
-        Some("sent on after its final answer")
+            .map(|violation| violation.message.as_str()),
+        Some("an attempt started after its final answer")
     );
     read.attempt(SECOND + 50, 0, 0, 1, SECOND + 4000, AttemptEnd::Served);
     read.assert_violation(Rule::Answers, "ended with no answer");
@@ -385,7 +385,7 @@
             after: Some(RequestId(0)),
         },
     );
-    unsolicited.assert_violation(Rule::Answers, "owed no answer");
+    unsolicited.assert_violation(Rule::Answers, "without a pending request");
     let mut made_up = TraceBuilder::new();
     made_up.request_sent(SECOND, 0, SAFE);
     made_up.add(
@@ -397,7 +397,7 @@
             retry_after: None,
         },
     );
-    made_up.assert_violation(Rule::Answers, "no server made");
+    made_up.assert_violation(Rule::Answers, "no server sent");
 }
 
 #[test]
@@ -409,7 +409,7 @@
         let at = SECOND + 10 + TIMING_TOLERANCE + late;
         trace.attempt(at, 0, 0, 1, at + 10, AttemptEnd::Withdrawn);
         match allowed {
-            true => trace.assert_no_findings(),
+            true => trace.assert_clean(),
             false => trace.assert_violation(Rule::Answers, "after its final answer"),
         }
     }
@@ -417,7 +417,7 @@
 
 #[test]
 fn a_limiter_that_crashes_or_exceeds_the_shutdown_timeout_is_a_violation() {
-    for (how, allowed) in [
+    for (process_end, allowed) in [
         (ProcessEnd::Killed, true),
         (ProcessEnd::ShutDown, true),
         (ProcessEnd::Crashed, false),
@@ -428,11 +428,11 @@
             SECOND,
             EventKind::LimiterStopped {
                 limiter: 2,
-                end: how,
+                end: process_end,
             },
         );
         match allowed {
-            true => trace.assert_no_findings(),
+            true => trace.assert_clean(),
             false => trace.assert_violation(Rule::Answers, "limiter 2"),
         }
     }
@@ -461,14 +461,14 @@
         );
         trace.response_received(SECOND + 250_010, 0, 200);
         match allowed {
-            true => trace.assert_no_findings(),
-            false => trace.assert_violation(Rule::Effects, "while the first was out"),
+            true => trace.assert_clean(),
+            false => trace.assert_violation(Rule::Effects, "while the first was in flight"),
         }
     }
     // An attempt that never ends stays in flight.
     let mut trace = TraceBuilder::new();
     trace.request_sent(SECOND, 0, SAFE);
-    trace.sent(SECOND + 10, 0, 0, 0, 40.0);
+    trace.attempt_received(SECOND + 10, 0, 0, 0, 40.0);
     trace.attempt(
         SECOND + 200_000,
         1,
@@ -478,15 +478,15 @@
         AttemptEnd::Served,
     );
     trace.response_received(SECOND + 250_010, 0, 200);
-    trace.assert_violation(Rule::Effects, "while the first was out");
+    trace.assert_violation(Rule::Effects, "while the first was in flight");
 }
 
-/// A request with one attempt that ended with `how`, then another at `server`, `after` microseconds later.
-fn second_attempt(class: usize, how: AttemptEnd, server: u32, after: Micros) -> TraceBuilder {
+/// A request with one attempt that ended with `end`, then another at `server`, `after` microseconds later.
+fn second_attempt(class: usize, end: AttemptEnd, server: u32, after: Micros) -> TraceBuilder {
     let mut trace = TraceBuilder::new();
     let at = SECOND;
     trace.request_sent(at, 0, class);
-    trace.attempt(at, 0, 0, 0, at + 100, how);
+    trace.attempt(at, 0, 0, 0, at + 100, end);
     trace.attempt(
         at + after,
         1,
@@ -508,21 +508,21 @@
 #[test]
 fn a_request_that_may_have_run_is_resent_only_as_its_class_allows() {
     const SOON: Micros = 100_000;
-    for how in [
+    for end in [
         AttemptEnd::Errored,
         AttemptEnd::Withdrawn,
         AttemptEnd::Broken,
     ] {
-        second_attempt(SAFE, how, 4, SOON).assert_no_findings();
-        second_attempt(UNSAFE, how, 3, SOON).assert_violation(Rule::Effects, "unsafe request");
-        second_attempt(KEYED, how, 3, SOON).assert_no_findings();
-        second_attempt(KEYED, how, 4, SOON).assert_violation(Rule::Effects, "in another hall");
-        second_attempt(KEYED, how, 3, DEDUP_WINDOW + TIMING_TOLERANCE).assert_no_findings();
-        second_attempt(KEYED, how, 3, DEDUP_WINDOW + TIMING_TOLERANCE + 1)
-            .assert_violation(Rule::Effects, "after its window");
+        second_attempt(SAFE, end, 4, SOON).assert_clean();
+        second_attempt(UNSAFE, end, 3, SOON).assert_violation(Rule::Effects, "unsafe request");
+        second_attempt(KEYED, end, 3, SOON).assert_clean();
+        second_attempt(KEYED, end, 4, SOON).assert_violation(Rule::Effects, "in another hall");
+        second_attempt(KEYED, end, 3, DEDUP_WINDOW + TIMING_TOLERANCE).assert_clean();
+        second_attempt(KEYED, end, 3, DEDUP_WINDOW + TIMING_TOLERANCE + 1)
+            .assert_violation(Rule::Effects, "after the deduplication window");
     }
     for class in [SAFE, KEYED, UNSAFE] {
-        second_attempt(class, AttemptEnd::Declined, 4, SOON).assert_no_findings();
+        second_attempt(class, AttemptEnd::Declined, 4, SOON).assert_clean();
     }
 }
 
@@ -547,12 +547,12 @@
     );
     trace.attempt(SECOND + 200, 1, 0, 1, SECOND + 300, AttemptEnd::Served);
     trace.response_received(SECOND + 400, 0, 200);
-    trace.assert_no_findings();
+    trace.assert_clean();
 }
 
 #[test]
 fn rejecting_a_request_that_may_have_run_is_a_violation() {
-    for (class, how, status, allowed) in [
+    for (class, end, status, allowed) in [
         (KEYED, AttemptEnd::Errored, 429, false),
         (KEYED, AttemptEnd::Withdrawn, 503, false),
         (UNSAFE, AttemptEnd::Broken, 429, false),
@@ -562,10 +562,10 @@
     ] {
         let mut trace = TraceBuilder::new();
         trace.request_sent(SECOND, 0, class);
-        trace.attempt(SECOND + 10, 0, 0, 0, SECOND + 20, how);
+        trace.attempt(SECOND + 10, 0, 0, 0, SECOND + 20, end);
         trace.response_received(SECOND + 30, 0, status);
         match allowed {
-            true => trace.assert_no_findings(),
+            true => trace.assert_clean(),
             false => trace.assert_violation(Rule::Effects, "though it may have run"),
         }
     }
@@ -601,13 +601,13 @@
     trace.response_received(SECOND + 30, 0, 200);
     trace.add(
         SECOND + 15,
-        EventKind::AttemptExecuted {
+        EventKind::AttemptDequeued {
             attempt: AttemptId(0),
             repeated_effect: true,
             deduplicated: false,
         },
     );
-    trace.assert_no_findings();
+    trace.assert_clean();
     let options = CheckOptions {
         check_repeated_effects_per_key: true,
         ..OPTIONS
@@ -632,15 +632,15 @@
             trace.request_sent(at, 0, SAFE);
             trace.attempt(at, 0, 0, 2, at + 10, AttemptEnd::Served);
             trace.response_received(at + 20, 0, 200);
-            let mut second_attempt = trace.clone();
+            let mut ready_again = trace.clone();
             match allowed {
-                true => trace.assert_no_findings(),
+                true => trace.assert_clean(),
                 false => trace.assert_violation(Rule::Drains, "sent to server 2"),
             }
-            // A server that is ready again gets requests; a repeated notification of the same drain does not restart
-            // the grace.
-            second_attempt.notified(at - 5, 2, ServerState::Ready);
-            second_attempt.assert_no_findings();
+            // A server that is ready again may get requests. A repeated notification of the same drain does not restart
+            // the grace period.
+            ready_again.notified(at - 5, 2, ServerState::Ready);
+            ready_again.assert_clean();
             trace.notified(at - 5, 2, state);
             assert_eq!(
                 trace.check().finding(Rule::Drains).violations,
@@ -660,10 +660,11 @@
     another.request_sent(3 * SECOND, 0, SAFE);
     another.attempt(3 * SECOND, 0, 0, 2, 3 * SECOND + 10, AttemptEnd::Served);
     another.response_received(3 * SECOND + 20, 0, 200);
-    another.assert_no_findings();
+    another.assert_clean();
 }
 
-/// Incarnation 9 of server 0 starts cold at 1 s; it gets 100 requests with this work each within its first second.
+/// Incarnation 9 of server 0 starts cold at 1 s, and gets 100 requests of this work each within its first second; the
+/// first `notified` of them come from a limiter that was notified of the start.
 fn cold_server_load(work: f64, notified: u32) -> TraceBuilder {
     let mut trace = TraceBuilder::new();
     trace.server_started(SECOND, 9, 0, 10 * SECOND);
@@ -715,39 +716,42 @@
     // after 0.99 s, and the window counts at full length.
     let mean = (0.25 + 0.25 + 0.75 * 0.099) / 2.0;
     let budget = OVERLOAD_MULTIPLE * mean * 2.0 * OVERLOAD_WINDOW as f64 / 1000.0;
-    // One request more is tolerated: 99 of the 100 fill the budget.
-    let just = budget / 99.0;
-    cold_server_load(just * 0.999, 100).assert_no_findings();
-    cold_server_load(just * 1.01, 100).assert_violation(Rule::ColdServers, "server 0 was sent");
+    // The heaviest request of the window is not counted, so that 99 of the 100 fill the budget.
+    let largest_work = budget / 99.0;
+    cold_server_load(largest_work * 0.999, 100).assert_clean();
+    cold_server_load(largest_work * 1.01, 100)
+        .assert_violation(Rule::ColdServers, "server 0 was sent");
     // Limiters that were not notified are not to blame: two thirds of the work must come from notified ones.
-    cold_server_load(just * 1.01, 60).assert_no_findings();
-    cold_server_load(just * 1.01, 70).assert_violation(Rule::ColdServers, "server 0 was sent");
+    cold_server_load(largest_work * 1.01, 60).assert_clean();
+    cold_server_load(largest_work * 1.01, 70)
+        .assert_violation(Rule::ColdServers, "server 0 was sent");
 }
 
 #[test]
 fn usage_beyond_burst_refill_and_tolerance_of_a_ceiling_is_a_violation() {
     let (rate, burst) = PLANS[1].ceiling.expect("a ceiling");
     let slack = (0.1 * burst).max(3.0) + 0.15 * rate;
-    // Each request takes 3 units: all at one time, then one more once its units have been refilled.
-    let at_once = ((burst + slack) / 3.0).floor() as u32;
+    // Each request takes 3 units. First as many as the ceiling tolerates are sent at one time, then one more once the
+    // ceiling has refilled by 3 units.
+    let tolerated = ((burst + slack) / 3.0).floor() as u32;
     let send = |trace: &mut TraceBuilder, at: Micros, number: u32| {
         trace.request_sent_by(at, number, SAFE, 7, false);
         trace.attempt(at, number, number, number % 6, at + 10, AttemptEnd::Served);
         trace.response_received(at + 20, number, 200);
     };
     let mut trace = TraceBuilder::new();
-    (0..at_once).for_each(|number| send(&mut trace, SECOND, number));
-    trace.assert_no_findings();
+    (0..tolerated).for_each(|number| send(&mut trace, SECOND, number));
+    trace.assert_clean();
     let mut over = trace.clone();
-    send(&mut over, SECOND + 1, at_once);
+    send(&mut over, SECOND + 1, tolerated);
     over.assert_violation(Rule::Ceilings, "over its ceiling");
     let filled = SECOND + (3.0 / rate * SECOND as f64) as Micros;
-    send(&mut trace, filled + 1, at_once);
-    trace.assert_no_findings();
+    send(&mut trace, filled + 1, tolerated);
+    trace.assert_clean();
     // A second attempt of the same request takes no units.
-    let mut second_attempt = trace.clone();
-    second_attempt.attempt(filled + 30, 1000, 0, 0, filled + 40, AttemptEnd::Declined);
-    assert_eq!(second_attempt.check().finding(Rule::Ceilings).violations, 0);
+    let mut retried = trace.clone();
+    retried.attempt(filled + 30, 1000, 0, 0, filled + 40, AttemptEnd::Declined);
+    assert_eq!(retried.check().finding(Rule::Ceilings).violations, 0);
 }
 
 #[test]
@@ -755,13 +759,13 @@
     let mut trace = TraceBuilder::new();
     trace.request_sent(SECOND, 0, SAFE);
     trace.response_received(3 * SECOND, 0, 200);
-    trace.assert_violation(Rule::Answers, "after the client's time");
+    trace.assert_violation(Rule::Answers, "after the client's time limit");
     let mut elsewhere = trace.clone();
     elsewhere.add(6 * SECOND, EventKind::StandInsLate { delay: SECOND });
-    elsewhere.assert_violation(Rule::Answers, "after the client's time");
+    elsewhere.assert_violation(Rule::Answers, "after the client's time limit");
     trace.add(5 * SECOND / 2, EventKind::StandInsLate { delay: SECOND });
     let verdict = trace.check();
-    assert!(!verdict.has_violations() && !verdict.has_no_findings());
+    assert!(!verdict.has_violations() && !verdict.is_clean());
     assert_eq!(verdict.finding(Rule::Answers).uncertain, 1);
 }
 
@@ -825,7 +829,7 @@
         .iter()
         .copied()
         .chain([(AttemptEnd::Served, 1000, number as usize)]);
-    for (position, (how, pause, choice)) in all.enumerate() {
+    for (position, (end, pause, choice)) in all.enumerate() {
         let server = match (first_that_may_have_run, *class) {
             (Some(_), UNSAFE) => break,
             (Some((at, _)), KEYED) if now > at + DEDUP_WINDOW => break,
@@ -836,14 +840,14 @@
             break;
         }
         let id = number * 10 + position as u32;
-        trace.attempt(now, id, number, server, now + 50_000, how);
+        trace.attempt(now, id, number, server, now + 50_000, end);
         attempts.push(id);
         now += 50_000;
-        if how == AttemptEnd::Served {
+        if end == AttemptEnd::Served {
             trace.response_received(now + 10, number, 200);
             return attempts;
         }
-        if how != AttemptEnd::Declined && first_that_may_have_run.is_none() {
+        if end != AttemptEnd::Declined && first_that_may_have_run.is_none() {
             first_that_may_have_run = Some((now - 50_000, server));
         }
         now += pause;
@@ -865,10 +869,10 @@
             add_correct_request(&mut trace, number as u32, request_plan);
         }
         let verdict = trace.check();
-        prop_assert!(verdict.has_no_findings(), "{verdict:#?}");
+        prop_assert!(verdict.is_clean(), "{verdict:#?}");
     }
 
-/// One violation among correct requests is found, and no other one of its rule.
+    /// The one violation among correct requests is found, and no other violation of its rule.
     #[test]
     fn a_single_violation_is_always_found(
         plans in prop::collection::vec(request_plan(), 2..8),
--- a/crates/emberpin-testbed/tests/scenario_files.rs
+++ b/crates/emberpin-testbed/tests/scenario_files.rs
@@ -39,7 +39,7 @@
         ),
         (
             "[[fault]]\nat_s = 1\nwhat = \"server-moved\"\nserver = 1\nshare = 0.5",
-            "t.toml:5:1: found share, which this fault has no use for",
+            "t.toml:5:1: found share, which this fault does not use: remove it",
         ),
         (
             "[[fault]]\nat_s = 1\nwhat = \"firm-hammers\"\nplan = \"gold\"\ntimes = 2\nfor_s = 1",
@@ -53,8 +53,8 @@
         assert!(problem.starts_with(expected), "{text:?}: {problem}");
         assert!(!problem.contains('\n'), "{problem:?}");
     }
-    let endless = HEAD.replace("seconds = 2", "seconds = 1e9");
-    let error = Scenario::parse("t.toml", &endless).expect_err("endless");
+    let too_long = HEAD.replace("seconds = 2", "seconds = 1e9");
+    let error = Scenario::parse("t.toml", &too_long).expect_err("a run that is too long");
     assert_eq!(
         error.to_string(),
         "t.toml:4:11: found seconds = 1000000000, expected 0.1 to 7200"
@@ -65,7 +65,7 @@
 #[test]
 fn a_rolling_deploy_replaces_one_server_after_the_other() {
     let text = format!("{HEAD}[[fault]]\nat_s = 1\nwhat = \"servers-rolled\"\nevery_s = 0.5");
-    let scenario = Scenario::parse("t.toml", &text).expect("sound");
+    let scenario = Scenario::parse("t.toml", &text).expect("a valid scenario");
     assert_eq!(scenario.faults.len(), 9);
     assert_eq!(
         scenario.faults[8],
@@ -82,7 +82,7 @@
     let mut count = 0;
     for entry in std::fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
-        let scenario = Scenario::read(&path).expect("sound");
+        let scenario = Scenario::read(&path).expect("a valid scenario");
         assert!(scenario.about.len() > 20, "{}", path.display());
         assert_eq!(
             path.file_stem().and_then(|s| s.to_str()),
