--- a/crates/emberpin-bench/src/settings.rs
+++ b/crates/emberpin-bench/src/settings.rs
@@ -59,8 +59,8 @@
         plan["hard-burst"] = json!(0.0);
     }
     let target = |(number, address): (usize, &SocketAddr)| {
-        json!({"uid": format!("s-{number}"), "endpoint": address, "az": figures::zone_name(number % site.halls),
-               "model": "std-2c", "pod_group": number / site.halls, "state": "ready", "capacity_hint": 1.0,
+        json!({"uid": format!("s-{number}"), "endpoint": address, "az": figures::zone_name(number % site.zones),
+               "model": "std-2c", "pod_group": number / site.zones, "state": "ready", "capacity_hint": 1.0,
                "boot_ms": 0.0})
     };
     let targets: Vec<Value> = servers.iter().enumerate().map(target).collect();
--- a/crates/emberpin-testbed/src/discovery.rs
+++ b/crates/emberpin-testbed/src/discovery.rs
@@ -232,7 +232,7 @@
         let json = json!({
             "uid": server.uid(), "endpoint": server.addresses.borrow()[limiter].to_string(),
             "az": zone_name(self.world.zone(server.number)), "model": "std-2c",
-            "pod_group": server.number / self.world.scenario.site.halls,
+            "pod_group": server.number / self.world.scenario.site.zones,
             "state": match state {
                 ServerState::Ready => "ready",
                 ServerState::Draining => "draining",
--- a/crates/emberpin-testbed/src/html_report.rs
+++ b/crates/emberpin-testbed/src/html_report.rs
@@ -6,8 +6,10 @@
 use plotters::prelude::*;
 use std::fmt::Write;
 
-const SIZE: (u32, u32) = (960, 280);
-const COLOURS: [RGBColor; 6] = [
+/// Width and height of a plot in pixels.
+const PLOT_SIZE: (u32, u32) = (960, 280);
+/// Colours of the lines of a plot, used in turn.
+const LINE_COLOURS: [RGBColor; 6] = [
     RGBColor(60, 90, 160),
     RGBColor(40, 140, 80),
     RGBColor(200, 130, 30),
@@ -177,7 +179,7 @@
 ) -> Result<String, Box<dyn std::error::Error>> {
     let mut drawn = String::new();
     {
-        let area = SVGBackend::with_string(&mut drawn, SIZE).into_drawing_area();
+        let area = SVGBackend::with_string(&mut drawn, PLOT_SIZE).into_drawing_area();
         area.fill(&WHITE)?;
         let highest = lines
             .iter()
@@ -199,7 +201,7 @@
             chart.draw_series(LineSeries::new(marker, RGBColor(190, 50, 50).mix(0.35)))?;
         }
         for (index, (name, points)) in lines.iter().enumerate() {
-            let colour = COLOURS[index % COLOURS.len()];
+            let colour = LINE_COLOURS[index % LINE_COLOURS.len()];
             let shown = points.iter().copied().filter(|(at, _)| *at <= length);
             let series = chart.draw_series(LineSeries::new(shown, colour.stroke_width(2)))?;
             let key =
--- a/crates/emberpin-testbed/src/process.rs
+++ b/crates/emberpin-testbed/src/process.rs
@@ -190,7 +190,7 @@
         }
         self.recorder
             .record(EventKind::LimiterReady { limiter: number });
-        spawn_local(self.clone().watch(child, stderr_path));
+        spawn_local(self.clone().record_exit(child, stderr_path));
         Ok(true)
     }
 
@@ -246,7 +246,7 @@
 
     /// Waits for the process to exit and records the exit, unless `kill_as` has recorded it already. After an
     /// unexpected exit, stores the last line of standard error.
-    async fn watch(self: Rc<Self>, mut child: Child, stderr_path: PathBuf) {
+    async fn record_exit(self: Rc<Self>, mut child: Child, stderr_path: PathBuf) {
         _ = child.wait().await;
         let end = self.expected_end.get().unwrap_or(ProcessEnd::Crashed);
         if end == ProcessEnd::Crashed {
--- a/crates/emberpin-testbed/src/scenario.rs
+++ b/crates/emberpin-testbed/src/scenario.rs
@@ -42,7 +42,8 @@
     /// Number of limiters.
     pub limiters: usize,
     /// Number of zones; servers and limiters are assigned to them round robin.
-    pub halls: usize,
+    #[serde(rename = "halls")]
+    pub zones: usize,
     /// Number of servers.
     pub servers: usize,
     /// Cores of each server.
@@ -100,7 +101,7 @@
     fn default() -> Site {
         Site {
             limiters: 3,
-            halls: 3,
+            zones: 3,
             servers: 9,
             cores: 2,
             speed: [0.85, 1.1],
@@ -644,7 +645,7 @@
 impl Site {
     fn check(&self) -> Result<(), Problem> {
         count("limiters", self.limiters, 1, MAX_LIMITERS)?;
-        count("halls", self.halls, 1, 26)?;
+        count("halls", self.zones, 1, 26)?;
         count("servers", self.servers, 1, MAX_SERVERS)?;
         count("cores", self.cores, 1, 64)?;
         count("queue", self.queue, 0, 100_000)?;
--- a/crates/emberpin-testbed/src/scenario/fault_table.rs
+++ b/crates/emberpin-testbed/src/scenario/fault_table.rs
@@ -23,7 +23,7 @@
     }
 
     fn zone(&mut self) -> Result<usize, Problem> {
-        index("hall", self.raw.zone.take(), self.site.halls)
+        index("hall", self.raw.zone.take(), self.site.zones)
     }
 
     fn length(&mut self) -> Result<Micros, Problem> {
--- a/crates/emberpin-testbed/src/servers.rs
+++ b/crates/emberpin-testbed/src/servers.rs
@@ -112,9 +112,9 @@
         host: Ipv4Addr,
     ) -> Rc<World> {
         let site = &scenario.site;
-        let row = || (0..site.halls).map(|_| ZoneLink::default()).collect();
+        let row = || (0..site.zones).map(|_| ZoneLink::default()).collect();
         let links = (0..site.limiters).map(|_| row()).collect();
-        let deduplication = RefCell::new(vec![HashMap::new(); site.halls]);
+        let deduplication = RefCell::new(vec![HashMap::new(); site.zones]);
         Rc::new(World {
             recorder,
             host,
@@ -155,7 +155,7 @@
 
     /// The zone of a server.
     pub fn zone(&self, server: usize) -> usize {
-        server % self.scenario.site.halls
+        server % self.scenario.site.zones
     }
 
     fn take_number(counter: &Cell<u32>) -> u32 {
--- a/crates/emberpin-testbed/src/settings.rs
+++ b/crates/emberpin-testbed/src/settings.rs
@@ -30,15 +30,15 @@
             "overrun-cost": if plan.price < 1.0 { 0.0 } else { 0.5 },
         })
     };
-    let halls: Vec<String> = (0..site.halls).map(zone_name).collect();
+    let zones: Vec<String> = (0..site.zones).map(zone_name).collect();
     let group_size = if site.configured_limiters == 0 {
         site.limiters
     } else {
         site.configured_limiters
     };
     json!({
-        "my-number": number, "group-size": group_size, "zone": halls[number % site.halls],
-        "failure-domains": halls, "kinds": ["std-2c"],
+        "my-number": number, "group-size": group_size, "zone": zones[number % site.zones],
+        "failure-domains": zones, "kinds": ["std-2c"],
         "profiles": CLASSES.iter().map(class).collect::<Vec<_>>(),
         "plans": PLANS.iter().map(plan).collect::<Vec<_>>(),
         "bounds": {
--- a/crates/emberpin-testbed/src/site.rs
+++ b/crates/emberpin-testbed/src/site.rs
@@ -236,7 +236,7 @@
     let verdict = check_trace(
         &events,
         CheckOptions {
-            zones: scenario.site.halls,
+            zones: scenario.site.zones,
             check_repeated_effects_per_key: scenario.check_repeated_effects_per_key,
         },
     );
--- a/crates/emberpin-testbed/tests/referee.rs
+++ b/crates/emberpin-testbed/tests/referee.rs
@@ -116,6 +116,7 @@
         );
     }
 
+    /// An attempt that was received completely and has started to run, without its end.
     fn attempt_received(&mut self, at: Micros, number: u32, request: u32, server: u32, work: f64) {
         let attempt = AttemptId(number);
         self.add(
