--- a/crates/emberpin-membership/src/candidates.rs
+++ b/crates/emberpin-membership/src/candidates.rs
@@ -34,10 +34,10 @@
 }
 
 impl RegistryCandidates {
-    /// Chooses a registry for `slot` that no session is connected to. In order of preference: one named by a confirmed
-    /// registry, any other that is not avoided, one that is avoided; `random` decides among equals. The registry
-    /// `last`, to which the slot was connected before, is chosen only if there is no other. `None` if no registry is
-    /// left.
+    /// Chooses a registry that no slot uses, and assigns it to `slot`. In order of preference: one that is named by a
+    /// confirmed registry and not avoided, any other that is not avoided, one that is avoided; `random` decides among
+    /// equals. The registry `last`, to which the slot was connected before, is chosen only if there is no other. `None`
+    /// if no registry is left.
     pub fn choose(
         &mut self,
         now: Timestamp,
@@ -69,7 +69,7 @@
         Some(chosen)
     }
 
-    /// All known registries that no session is connected to, without `last` unless it is the only one.
+    /// All known registries that no slot uses, without `last` unless it is the only one.
     fn available(
         &self,
         seeds: impl Iterator<Item = Ipv4Addr>,
--- a/crates/emberpin-membership/src/guards.rs
+++ b/crates/emberpin-membership/src/guards.rs
@@ -1,4 +1,4 @@
-//! Switches for the safety checks of a registry. Tests turn a check off to show that they detect its absence.
+//! Switches for the safety checks of a registry. Tests turn a check off to show that its absence would be detected.
 
 /// The safety checks of a registry; `true` turns a check on. All are on in production.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/emberpin-membership/src/instance_table.rs
+++ b/crates/emberpin-membership/src/instance_table.rs
@@ -68,7 +68,7 @@
         self.entries.iter()
     }
 
-    /// The entries whose ids are not below the bound `from`, in the order of their ids.
+    /// The entries from the bound `from` on, in the order of their ids.
     pub fn range_from(&self, from: Bound<&str>) -> impl Iterator<Item = (&String, &InstanceEntry)> {
         self.entries.range::<str, _>((from, Bound::Unbounded))
     }
--- a/crates/emberpin-membership/src/peers.rs
+++ b/crates/emberpin-membership/src/peers.rs
@@ -72,7 +72,7 @@
         digest: Digest,
     },
     /// Answers [`RegistryMessage::Heartbeat`] and renews the receiver's lease on the sender: everything that the sender
-    /// had to report until then was sent earlier on the same connection.
+    /// had to report when it answered was sent earlier on the same connection.
     HeartbeatAck {
         /// The nonce of the heartbeat.
         nonce: Nonce,
--- a/crates/emberpin-membership/src/registry.rs
+++ b/crates/emberpin-membership/src/registry.rs
@@ -65,8 +65,9 @@
     items: BTreeMap<ItemKey, Item>,
     /// The warm-up time of each service.
     warmups: BTreeMap<String, Duration>,
-    /// The zones whose evacuation had already ended in the first items that this incarnation received. It may have
-    /// ended just before; until the time given here, instances learned from proxies may date from before its end.
+    /// The zones whose evacuation had already ended according to the first items that this incarnation received. How
+    /// long before is not known: until the time given here, an instance learned from a proxy is taken to date from
+    /// before the end of the evacuation.
     zones_after_evacuation: BTreeMap<String, Timestamp>,
     /// Every change of the tables above, in the order in which sessions receive them.
     change_log: ChangeLog,
@@ -75,13 +76,13 @@
 
     /// The machines whose stores vote, as last named by a store. Empty until a store has named them.
     voters: Vec<Ipv4Addr>,
-    /// The lease on the state of the store that the registry follows. At the time that the lease confirms, the store
-    /// had compared itself with a majority; every item that it knew then has been delivered to this registry.
+    /// The lease on the state of the store that the registry follows: every item that a majority of the stores had at
+    /// the time [`Lease::confirmed_at`] has been delivered to this registry.
     store_lease: Lease,
     /// When the store is next queried for the age of its state.
     store_query_at: Timestamp,
-    /// Since when the registry has been confirmed without interruption; checked at each heartbeat to the peers. `None`
-    /// if it is not confirmed.
+    /// Since when [`Registry::is_confirmed`] has held without interruption, as checked at each heartbeat to the peers;
+    /// `None` if it does not hold.
     confirmed_since: Option<Timestamp>,
 
     /// The other registries.
@@ -129,7 +130,8 @@
         }
     }
 
-    /// A registry with some of its safety checks turned off, for tests that show that they detect their absence.
+    /// A registry with some of its safety checks turned off, with which tests show that a missing check would be
+    /// detected.
     #[doc(hidden)]
     pub fn with_guards(now: Timestamp, config: RegistryConfig, guards: Guards) -> Registry {
         let mut registry = Registry {
--- a/crates/emberpin-membership/src/registry/peers.rs
+++ b/crates/emberpin-membership/src/registry/peers.rs
@@ -24,8 +24,8 @@
     pub(super) zone: String,
     /// Whether its state was confirmed by a majority when it last reported.
     pub(super) is_confirmed: bool,
-    /// The lease on its state. At the time that the lease confirms, the peer was running and had reported all its state
-    /// to this registry.
+    /// The lease on its state: the peer was running at the time [`Lease::confirmed_at`], and all that it had to report
+    /// until then has been received.
     pub(super) lease: Lease,
     /// When it became known. A non-voting peer that never answers is dropped some time after that.
     known_since: Timestamp,
--- a/crates/emberpin-membership/src/registry/repair.rs
+++ b/crates/emberpin-membership/src/registry/repair.rs
@@ -7,8 +7,8 @@
 use crate::peers::InstanceRecord;
 
 impl Registry {
-    /// Adds instances, and drains, that this registry does not know from those that a proxy knows. Returns the ids of
-    /// the other instances that the proxy knows with another status than this registry.
+    /// Merges what the proxy knows and this registry does not: whole instances, and that an instance is draining.
+    /// Returns the ids of the other instances whose status at the proxy differs from the one in the table.
     pub(super) fn repair_from_proxy(
         &mut self,
         now: Timestamp,
--- a/crates/emberpin-membership/src/registry/servers.rs
+++ b/crates/emberpin-membership/src/registry/servers.rs
@@ -56,8 +56,8 @@
         }
     }
 
-    /// The reply to a heartbeat. A registry without contact to a majority does not acknowledge that a server is up, as
-    /// proxies on the other side of a partition would not learn of it: the server must try the registries there. A
+    /// The reply to a heartbeat. A registry without contact with a majority does not acknowledge that a server is up,
+    /// as proxies on the other side of a partition would not learn of it: the server must try the registries there. A
     /// registry that has just started does acknowledge it, as it had no time to establish contact.
     fn heartbeat_reply(
         &self,
--- a/crates/emberpin-membership/src/timing.rs
+++ b/crates/emberpin-membership/src/timing.rs
@@ -123,17 +123,17 @@
 /// The deployment bounds for which the intervals above are chosen, as the settings files of small and of large sites
 /// state them.
 ///
-/// A partition matters to a proxy if both registries of its two sessions are cut off. The proxy does not try these
-/// again, nor any other registry that could confirm nothing. So a partition that cuts off `n` registries costs `n - 2`
-/// failed attempts.
+/// A partition matters to a proxy only if it cuts off the registries of both of its sessions. The proxy then avoids
+/// these two, and each further registry that could confirm nothing. So a partition that cuts off `n` registries costs
+/// at most `n - 2` failed attempts.
 pub mod bounds {
     use std::time::Duration;
 
     /// `apply` and `drain` of a small site; those of a large site are longer.
     pub const APPLY: Duration = Duration::from_millis(2_500);
-    /// `contact` of a small site: at most five core machines, of which two may be cut off.
+    /// `contact` of a small site: at most five machines run a store and a registry; two of them may be cut off.
     pub const CONTACT: Duration = Duration::from_millis(3_000);
-    /// `contact` of a large site: at most nine core machines, of which four may be cut off.
+    /// `contact` of a large site: at most nine machines run a store and a registry; four of them may be cut off.
     pub const LARGE_SITE_CONTACT: Duration = Duration::from_millis(5_000);
 }
 
--- a/crates/emberpin-membership/tests/common/network.rs
+++ b/crates/emberpin-membership/tests/common/network.rs
@@ -104,8 +104,8 @@
         self.links.keys().copied().collect()
     }
 
-    /// Removes the links that a failed machine has opened. Returns the links of other machines to it, which the caller
-    /// must close.
+    /// Removes the links that a failed machine has opened. Returns the links that other machines have opened to it,
+    /// which must then be closed with [`Network::close`].
     pub fn remove_machine(&mut self, machine: u8) -> Vec<LinkId> {
         self.links.retain(|id, _| id.caller != machine);
         let ids = self.links.keys().copied();
@@ -143,7 +143,8 @@
         }
     }
 
-    /// Advances a link to the time `now`.
+    /// Advances a link to the time `now`. A machine is up unless it was killed, and running if it is up and not paused:
+    /// a paused caller does not open a link, but a paused callee accepts one, and its events are queued.
     pub fn advance(
         &mut self,
         now: u64,
--- a/crates/emberpin-registry/src/coordination_client.rs
+++ b/crates/emberpin-registry/src/coordination_client.rs
@@ -3,8 +3,8 @@
 //!
 //! One store is the leader; it carries out operations fastest, and all other stores redirect to it. A store that does
 //! not reply to an operation in time is suspected, and all operations that wait for its reply are sent to the next
-//! store, which takes over as leader. An operation may be carried out twice, so it is sent again although the first
-//! store may have carried it out.
+//! store, which takes over as leader. Carrying out an operation twice is permitted, so it is sent again even if the
+//! first store may have carried it out.
 
 use crate::store_client::StoreClient;
 use crate::store_connection::StoreConnection;
@@ -23,11 +23,11 @@
 /// after a second without a response.
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(900);
 /// The initial and lowest reply time-out: a store that has sent no reply for this long while an operation waits is
-/// suspected. Each such suspicion doubles the time-out, up to [`MAX_REPLY_TIME`], and each reply reduces it by an
+/// suspected. Each such suspicion doubles the time-out, up to [`MAX_REPLY_TIMEOUT`], and each reply reduces it by an
 /// eighth: if all stores are slow, the next store is no faster.
 const MIN_REPLY_TIMEOUT: Duration = Duration::from_millis(250);
 /// A store that does not reply to an operation for this long is suspected, even if it replies to others.
-const MAX_REPLY_TIME: Duration = Duration::from_millis(700);
+const MAX_REPLY_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long a store remains suspected unless it replies.
 const SUSPICION_PERIOD: Duration = Duration::from_secs(3);
 /// The delay before an attempt while all stores are suspected.
@@ -70,7 +70,7 @@
     state: Arc<StoreState>,
     /// The last known leader. Its subscribers are also notified whenever a store is suspected.
     leader: watch::Sender<Option<Ipv4Addr>>,
-    /// The current reply time-out, between [`MIN_REPLY_TIMEOUT`] and [`MAX_REPLY_TIME`].
+    /// The current reply time-out, between [`MIN_REPLY_TIMEOUT`] and [`MAX_REPLY_TIMEOUT`].
     reply_timeout: Mutex<Duration>,
     /// The stores that have not replied since they were suspected, and when that was last.
     suspects: Mutex<BTreeMap<Ipv4Addr, Instant>>,
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Sends the operation to one store after the other until one has carried it out. `effect` is kept up to date, for
-    /// a caller that cancels this: it says whether any store may have carried out the operation or may do so later.
+    /// Sends the operation to one store after the other until one has carried it out. `effect` always states whether a
+    /// store may have carried out the operation or may do so later, also if the caller cancels the attempts.
     async fn attempt_until_done(
         &self,
         operation: &Operation,
@@ -270,7 +270,7 @@
         loop {
             let last_reply_at = connection.last_reply_at();
             let overdue_at =
-                (waits_until.max(last_reply_at) + timeout).min(waits_until + MAX_REPLY_TIME);
+                (waits_until.max(last_reply_at) + timeout).min(waits_until + MAX_REPLY_TIMEOUT);
             if Instant::now() >= overdue_at {
                 return;
             }
@@ -280,7 +280,7 @@
 
     fn lengthen_reply_timeout(&self) {
         let mut timeout = lock(&self.reply_timeout);
-        *timeout = (*timeout * 2).min(MAX_REPLY_TIME);
+        *timeout = (*timeout * 2).min(MAX_REPLY_TIMEOUT);
     }
 
     fn shorten_reply_timeout(&self) {
--- a/crates/emberpin-registry/src/http_api.rs
+++ b/crates/emberpin-registry/src/http_api.rs
@@ -1,7 +1,7 @@
 //! The HTTP API at the `ctl` address, for servers (heartbeats), applications (locks, counters and cells) and operators.
 //!
-//! A request to one of its routes is named a call. [`HttpServer`] accepts connections and finds the route of each
-//! request; [`CallHandler`] carries the call out.
+//! A call is a request to one of its routes. [`HttpServer`] accepts connections and finds the route of each request;
+//! [`CallHandler`] carries the call out.
 
 mod call_query;
 mod calls;
--- a/crates/emberpin-registry/src/http_api/calls.rs
+++ b/crates/emberpin-registry/src/http_api/calls.rs
@@ -47,7 +47,7 @@
 pub struct CallHandler {
     commands: CommandSender,
     store_client: Arc<StoreClient>,
-    /// The port of the HTTP API, the same on all core machines.
+    /// The port of the HTTP API, the same on all machines that run a registry.
     ctl_port: u16,
     /// Carries out the calls of applications; `None` if the settings do not enable coordination.
     coordination: Option<CoordinationClient>,
@@ -85,7 +85,8 @@
 
 impl CallHandler {
     /// Creates a handler that sends calls to the event loop with `commands`, and forwards them with `store_client` or,
-    /// those of applications, with `coordination`. `ctl_port` is the port of the HTTP API on all core machines.
+    /// those of applications, with `coordination`. `ctl_port` is the port of the HTTP API, the same on all machines
+    /// that run a registry.
     pub fn new(
         commands: CommandSender,
         store_client: Arc<StoreClient>,
--- a/crates/emberpin-registry/src/program.rs
+++ b/crates/emberpin-registry/src/program.rs
@@ -37,14 +37,14 @@
 /// Why the process could not start.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
-    #[error("the runtime: {0}")]
+    #[error("cannot start the runtime: {0}")]
     Runtime(#[source] io::Error),
-    #[error("{name}: {source}")]
+    #[error("cannot handle the signal {name}: {source}")]
     Signal {
         name: &'static str,
         source: io::Error,
     },
-    #[error("a random number: {0}")]
+    #[error("cannot draw a random number: {0}")]
     Random(#[source] getrandom::Error),
     #[error(transparent)]
     Listen(#[from] ListenError),
--- a/crates/emberpin-registry/src/store_client.rs
+++ b/crates/emberpin-registry/src/store_client.rs
@@ -15,8 +15,8 @@
 use tokio::time::{timeout, Instant};
 
 /// A store that rejects a call within this time has not begun to carry it out, and the call is sent to the next store.
-/// A store that was partitioned takes longer to reject. Its rejection is then returned, as the other stores are
-/// equally far away from this machine.
+/// A store that is cut off from the others takes longer. Its rejection is returned, as the other stores are no easier
+/// to reach from this machine.
 const IMMEDIATE_REJECTION: Duration = Duration::from_millis(150);
 /// The status of a response to a call that may be repeated: 503, Service Unavailable.
 const SERVICE_UNAVAILABLE: u16 = 503;
--- a/crates/emberpin-registry/tests/common/registry_process.rs
+++ b/crates/emberpin-registry/tests/common/registry_process.rs
@@ -5,7 +5,7 @@
 use std::net::Ipv4Addr;
 use std::process::{Child, Command, Stdio};
 
-/// The text of the settings file of one core machine. `seeds` are the addresses of all core machines.
+/// The text of the settings file of one machine. `seeds` are the addresses of all machines that run a registry.
 fn settings(ip: Ipv4Addr, seeds: &[Ipv4Addr]) -> String {
     let seeds: Vec<String> = seeds
         .iter()
--- a/crates/emberpin-registry/tests/recorded_messages.rs
+++ b/crates/emberpin-registry/tests/recorded_messages.rs
@@ -120,14 +120,14 @@
     expect_decoded_as(&recorded::frames(VALUES, "to-store"), &values::to_store());
     expect_decoded_as(
         &recorded::frames(MESSAGES_OF_VERSION_3, "to-store"),
-        &[samples::to_store(), samples::added_to_store()].concat(),
+        &[samples::to_store(), samples::to_store_new_in_version_3()].concat(),
     );
     expect_decoded_as(
         &recorded::frames(MESSAGES_OF_VERSION_4, "to-store"),
         &[
             samples::to_store(),
-            samples::added_to_store(),
-            samples::added_to_store_in_version_4(),
+            samples::to_store_new_in_version_3(),
+            samples::to_store_new_in_version_4(),
         ]
         .concat(),
     );
@@ -147,7 +147,7 @@
         &recorded::frames(MESSAGES_OF_VERSION_4, "from-store"),
         &[
             samples::from_store(),
-            samples::added_from_store_in_version_4(),
+            samples::from_store_new_in_version_4(),
         ]
         .concat(),
     );
--- a/crates/emberpin-registry/tests/samples/mod.rs
+++ b/crates/emberpin-registry/tests/samples/mod.rs
@@ -215,7 +215,7 @@
 }
 
 /// The messages to a store that version 3 of the protocol added.
-pub fn added_to_store() -> Vec<ToStore> {
+pub fn to_store_new_in_version_3() -> Vec<ToStore> {
     let changes = [EvacuationChange::Begin, EvacuationChange::End];
     let request = |change| {
         ToStore::Request(StoreRequest::ChangeEvacuation {
@@ -246,7 +246,7 @@
 
 /// The messages to a store that version 4 of the protocol added: each operation, and the messages between stores for
 /// registers.
-pub fn added_to_store_in_version_4() -> Vec<ToStore> {
+pub fn to_store_new_in_version_4() -> Vec<ToStore> {
     let request = |operation| {
         ToStore::Request(StoreRequest::Coordinate {
             id: RequestId(4),
@@ -325,7 +325,7 @@
 
 /// The messages from a store that version 4 of the protocol added: each outcome of an operation, and the replies
 /// without an outcome.
-pub fn added_from_store_in_version_4() -> Vec<StoreReply> {
+pub fn from_store_new_in_version_4() -> Vec<StoreReply> {
     let fence = FencingToken(41);
     let revision = Revision(931);
     let event = CellEvent {
@@ -518,8 +518,8 @@
             "to-store",
             [
                 frames_of(&to_store()),
-                frames_of(&added_to_store()),
-                frames_of(&added_to_store_in_version_4()),
+                frames_of(&to_store_new_in_version_3()),
+                frames_of(&to_store_new_in_version_4()),
             ]
             .concat(),
         ),
@@ -527,7 +527,7 @@
             "from-store",
             [
                 frames_of(&from_store()),
-                frames_of(&added_from_store_in_version_4()),
+                frames_of(&from_store_new_in_version_4()),
             ]
             .concat(),
         ),
--- a/crates/emberpin-store/src/disk.rs
+++ b/crates/emberpin-store/src/disk.rs
@@ -89,11 +89,11 @@
 
     /// Opens the keyspace, and positions the journal reader at the next write.
     fn open_keyspace(path: &Path, sync_record: SyncRecord) -> Result<Disk, DiskError> {
-        let newest_before =
+        let journal_before_open =
             journal::newest_number(path).map_err(FileOperation::ReadJournal.failed_at(path))?;
         let keyspace =
             StoreKeyspace::open(path).map_err(KeyspaceOperation::Open.failed_at(path))?;
-        let journal = JournalReader::at_end(path, newest_before)
+        let journal = JournalReader::at_end(path, journal_before_open)
             .map_err(FileOperation::ReadJournal.failed_at(path))?;
         Ok(Disk {
             keyspace,
@@ -335,9 +335,9 @@
     }
 }
 
-/// Truncates the newest journal after its last intact batch, or fails if synced writes are missing. No message depends
-/// on unsynced writes. `fjall` would truncate everything behind damage, synced or not, so this runs before `fjall` opens
-/// the keyspace.
+/// Truncates the newest journal after its last intact batch, or fails if synced writes are missing. Only unsynced
+/// writes are lost, which is safe: a message is sent only after the writes that it depends on are synced. `fjall` would
+/// truncate everything behind damage, synced or not, so this runs before `fjall` opens the keyspace.
 fn discard_incomplete_writes(path: &Path, synced: Option<WriteNumber>) -> Result<(), DiskError> {
     let prefix = IntactPrefix::find_in_newest_journal(path)
         .map_err(FileOperation::ReadJournal.failed_at(path))?;
--- a/crates/emberpin-store/src/disk/journal.rs
+++ b/crates/emberpin-store/src/disk/journal.rs
@@ -123,17 +123,17 @@
 }
 
 impl JournalReader {
-    /// Creates a reader that is positioned at the next write of a keyspace that was just opened. `newest_before` is the
-    /// number of the newest journal before the keyspace was opened. A journal that is newer is read from its beginning,
-    /// although its file already has a length.
+    /// Creates a reader that is positioned at the next write of a keyspace that was just opened. `journal_before_open`
+    /// is the number of the newest journal before the keyspace was opened. A newer journal has no batch yet and is read
+    /// from its beginning: the length of its file is only reserved.
     ///
     /// # Errors
     ///
     /// There is no journal, or it could not be opened.
-    pub fn at_end(keyspace: &Path, newest_before: Option<u64>) -> io::Result<JournalReader> {
+    pub fn at_end(keyspace: &Path, journal_before_open: Option<u64>) -> io::Result<JournalReader> {
         let number = newest_number(keyspace)?.ok_or(ErrorKind::NotFound)?;
         let file = File::open(journal_path(keyspace, number))?;
-        let offset = if newest_before == Some(number) {
+        let offset = if journal_before_open == Some(number) {
             file.metadata()?.len()
         } else {
             0
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -113,7 +113,7 @@
             if self.handle_event(event, &mut sources.inputs)?.is_break() || self.has_left() {
                 return Ok(());
             }
-            self.publish_status();
+            self.finish_event();
         }
     }
 
@@ -406,9 +406,9 @@
         self.apply_register_actions(actions.registers);
     }
 
-    /// Runs after the actions of an event: sends the deferred confirmations, sends the status if it changed or is due,
-    /// and closes idle links if their check is due.
-    fn publish_status(&mut self) {
+    /// Runs after the actions of an event: restores replicas after an overflow, sends the deferred confirmations, saves
+    /// the system's id, sends the status if it changed or is due, and closes idle links if their check is due.
+    fn finish_event(&mut self) {
         self.restore_after_overflow();
         self.registries.send_confirmations();
         self.update_system_record();
--- a/crates/emberpin-store/src/item_batches.rs
+++ b/crates/emberpin-store/src/item_batches.rs
@@ -9,7 +9,7 @@
 const ITEM_OVERHEAD_BYTES: usize = 48;
 
 /// Splits items into batches. Returns at least one batch, which is empty if there are no items. Evacuations come first:
-/// a registry takes those in its first batch for older than itself, and any later one for a change.
+/// a registry assumes that those in its first batch may have changed long ago, and that any later one has just changed.
 pub fn item_batches(mut items: Vec<Item>) -> Vec<Vec<Item>> {
     items.sort_by_key(|item| item.key.kind != ItemKind::Evacuation);
     let mut batches = vec![Vec::new()];
--- a/crates/emberpin-store/src/metrics.rs
+++ b/crates/emberpin-store/src/metrics.rs
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Records that a write was submitted that is to be synced.
+    /// Records that a write that needs a sync was submitted.
     pub fn on_submitted(&mut self, token: WriteToken) {
         if self.submitted_at_by_token.len() < MAX_TIMED_SYNCS {
             self.submitted_at_by_token.insert(token, Instant::now());
--- a/crates/emberpin-store/src/send_queue.rs
+++ b/crates/emberpin-store/src/send_queue.rs
@@ -14,7 +14,8 @@
 /// A peer that has not accepted a frame within this time is unreachable.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// An encoded message in one or more frames. The send queues of all its receivers share the bytes.
+/// An encoded message: one frame, or several if the message is long. The send queues of all its receivers share the
+/// bytes.
 #[derive(Clone, Debug)]
 pub struct Frame {
     bytes: Arc<Vec<u8>>,
--- a/crates/emberpin-store/src/startup.rs
+++ b/crates/emberpin-store/src/startup.rs
@@ -32,7 +32,8 @@
 const INPUT_QUEUE_LENGTH: usize = 256;
 /// Maximum wait for each of the first syncs before the store accepts connections.
 const FIRST_SYNC_TIMEOUT: Duration = Duration::from_secs(1);
-/// Maximum wait for the last sync at shutdown. No message depends on that sync: each message was sent after its own.
+/// Maximum wait for the last sync at shutdown. No message depends on that sync: each message was sent only after the
+/// writes that it depends on were synced.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Runs a store until SIGTERM or SIGINT, and serves metrics if there is an endpoint for them.
--- a/crates/emberpin-store/tests/common/store_node.rs
+++ b/crates/emberpin-store/tests/common/store_node.rs
@@ -69,7 +69,7 @@
         let done = Command::new("prlimit")
             .args(["--pid", &store, "--fsize=unlimited"])
             .status();
-        assert!(done.is_ok_and(|done| done.success()), "no limit was raised");
+        assert!(done.is_ok_and(|done| done.success()), "no limit was lifted");
     }
 
     /// Starts the store as a founder, with a disk whose syncs do not return while [`StoreNode::stall_file`] exists.
