--- a/crates/emberpin-consensus/src/ballot.rs
+++ b/crates/emberpin-consensus/src/ballot.rs
@@ -20,8 +20,8 @@
 /// The proposal that a voter accepted last.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedProposal {
-    /// The ballot at which it was accepted. It is kept when the items are cleared: it shows proposers that items which
-    /// other voters accepted at lower ballots, and which are not chosen, never will be.
+    /// The ballot at which it was accepted. It is kept when the items are cleared: proposers conclude from it that
+    /// items which other voters accepted at lower ballots will never be chosen, unless they already are.
     pub ballot: Ballot,
     /// All items of the proposal; empty once the voter knows all of them to be chosen.
     pub items: Vec<Item>,
--- a/crates/emberpin-consensus/src/call.rs
+++ b/crates/emberpin-consensus/src/call.rs
@@ -22,9 +22,10 @@
         zone: String,
         /// Whether the evacuation begins or ends.
         change: EvacuationChange,
-        /// The version of the zone's evacuation that the caller was given while it waited for an answer;
-        /// [`Version::NEVER_SET`] if the zone had none. The call is rejected once another version is chosen, so that a
-        /// call that its caller has abandoned changes nothing after a later one was acknowledged.
+        /// The version of the zone's evacuation that a registry knew when it first received the call; it redirects the
+        /// caller to a URL with this version. [`Version::NEVER_SET`] if the zone had none. The call is rejected once
+        /// another version is chosen, so that a call that its caller has abandoned changes nothing after a later one
+        /// was acknowledged.
         precondition: Version,
     },
     /// An operation of an application on registers. Answered by [`Action::ReplyToApplication`].
--- a/crates/emberpin-consensus/src/guards.rs
+++ b/crates/emberpin-consensus/src/guards.rs
@@ -63,7 +63,7 @@
     pub evict_early_without_margin: bool,
     /// A leader sends the items of its last round with its next proposal.
     pub send_last_items: bool,
-    /// A replica counts the leases of the locks that it reads from its disk from its start.
+    /// The leases of the locks that a replica reads from its disk count from the start of the replica.
     pub count_leases_from_start: bool,
     /// A renewal of a lock restarts its lease.
     pub renewals_restart_leases: bool,
@@ -76,8 +76,10 @@
             items.retain(|item| item.key.kind != ItemKind::History);
         }
         if !self.propose_superseded {
-            let newer: Vec<ItemKey> = items.iter().map(|item| History::key(&item.key)).collect();
-            items.retain(|item| item.key.kind != ItemKind::History || newer.contains(&item.key));
+            let histories: Vec<ItemKey> =
+                items.iter().map(|item| History::key(&item.key)).collect();
+            items
+                .retain(|item| item.key.kind != ItemKind::History || histories.contains(&item.key));
         }
         items
     }
--- a/crates/emberpin-consensus/src/incarnation.rs
+++ b/crates/emberpin-consensus/src/incarnation.rs
@@ -5,9 +5,10 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// Entry limit of [`LatestIncarnations`]. Beyond it, the voter that caught up at the lowest ballot is dropped: a round
-/// that still counts a promise of that voter from before it caught up would have to be as old as this many disk losses.
-const MAX_VOTERS: usize = 64;
+/// Entry limit of [`LatestIncarnations`]. Beyond it, the entry with the lowest ballot is dropped. Only a round that
+/// still counts a promise which that voter made before it caught up could miss the entry, and this many disks would
+/// have to be lost during that round.
+const MAX_ENTRIES: usize = 64;
 
 /// Identifies the span between two losses of a voter's disk: the ballot of the round by which the voter caught up,
 /// or the lowest ballot for a voter that never lost its disk.
@@ -24,7 +25,7 @@
     pub fn record(&mut self, voter: Ipv4Addr, incarnation: Incarnation) {
         let latest = self.0.entry(voter).or_default();
         *latest = incarnation.max(*latest);
-        while self.0.len() > MAX_VOTERS {
+        while self.0.len() > MAX_ENTRIES {
             self.remove_oldest();
         }
     }
--- a/crates/emberpin-consensus/src/replica/bootstrap.rs
+++ b/crates/emberpin-consensus/src/replica/bootstrap.rs
@@ -179,7 +179,7 @@
         self.send(from, Message::BootstrapReply(reply), actions);
     }
 
-    /// At the initiator: a seed knows no roster.
+    /// At the initiator: a seed has answered that it knows no roster.
     pub(super) fn on_bootstrap_reply(&mut self, from: Ipv4Addr, reply: BootstrapReply) {
         let Some(BootstrapCandidate { nonce, seeds }) = self.initiator().cloned() else {
             return;
@@ -212,13 +212,13 @@
             return;
         }
         let own_address = self.options.address;
-        let named = self
+        let recorded_nonce = self
             .state()
             .roster()
             .and_then(|roster| founder_nonce(roster, own_address));
         let candidate = self.acceptor.bootstrap_candidate.as_ref();
         let own_nonce = candidate.map(|candidate| candidate.nonce);
-        if own_nonce.is_some() && named == own_nonce {
+        if own_nonce.is_some() && recorded_nonce == own_nonce {
             self.acceptor.voting = true;
             self.persist_metadata(actions);
         }
--- a/crates/emberpin-consensus/src/replica/comparison.rs
+++ b/crates/emberpin-consensus/src/replica/comparison.rs
@@ -295,8 +295,9 @@
         }
     }
 
-    /// How long ago this replica had accepted only items that are now known to be chosen or superseded: zero if that is
-    /// so now; `None` if no comparison with itself is confirmed.
+    /// The age of the newest confirmed comparison of this replica with itself: all items that it had accepted by then
+    /// are now known to be chosen or superseded. Zero if all items that it has accepted until now are; `None` if no
+    /// such comparison is confirmed.
     pub(super) fn own_confirmed_age(&self, now: Timestamp) -> Option<Duration> {
         if self.unchosen_versions().is_empty() {
             return Some(Duration::ZERO);
--- a/crates/emberpin-consensus/src/replica/coordination.rs
+++ b/crates/emberpin-consensus/src/replica/coordination.rs
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Another replica leads: replies to all waiting applications with its address.
+    /// Another replica leads: replies to all waiting applications with the address of that leader.
     pub(super) fn redirect_applications(&mut self, leader: Ipv4Addr, actions: &mut Vec<Action>) {
         let tasks = self.tasks.drain(..);
         let (waiting, others): (VecDeque<Task>, VecDeque<Task>) =
--- a/crates/emberpin-consensus/src/replica/late_candidacy.rs
+++ b/crates/emberpin-consensus/src/replica/late_candidacy.rs
@@ -34,7 +34,7 @@
 }
 
 impl Replica {
-    /// The sorted seeds, if this replica is one of several, knows no roster, and is not a candidate.
+    /// The sorted seeds, if there are several and this replica is one of them, knows no roster, and is not a candidate.
     fn seeds_without_candidacy(&self) -> Option<Vec<Ipv4Addr>> {
         let is_open = self.guards().bootstrap_agreement
             && self.acceptor.bootstrap_candidate.is_none()
@@ -119,8 +119,8 @@
         let all_answered = seeds
             .iter()
             .all(|seed| *seed == self.options.address || replies.contains_key(seed));
-        let some_is_candidate = replies.values().any(|is_candidate| *is_candidate);
-        if all_answered && some_is_candidate {
+        let any_candidate = replies.values().any(|is_candidate| *is_candidate);
+        if all_answered && any_candidate {
             self.become_candidate(seeds, actions);
         }
     }
--- a/crates/emberpin-consensus/src/replica/leadership.rs
+++ b/crates/emberpin-consensus/src/replica/leadership.rs
@@ -89,7 +89,8 @@
         Some(round)
     }
 
-    /// Becomes or stays the leader: the proposal of a round is chosen whose voters have promised the next ballot.
+    /// Becomes or stays the leader: the round's proposal is chosen, and the voters that accepted it have promised the
+    /// next ballot.
     pub(super) fn become_leader(
         &mut self,
         round: &mut Round,
@@ -117,7 +118,8 @@
         }
     }
 
-    /// Announces the items of the last round to all voters.
+    /// Announces the items of the last round to all other replicas that this one knows, unless they already are
+    /// announced.
     pub(super) fn announce(&mut self, actions: &mut Vec<Action>) {
         let Some(leadership) = &mut self.leadership else {
             return;
--- a/crates/emberpin-consensus/src/replica/proposer.rs
+++ b/crates/emberpin-consensus/src/replica/proposer.rs
@@ -195,8 +195,8 @@
         self.propose(actions);
     }
 
-    /// A voter has accepted. Once a quorum has, the items are chosen: all replicas are notified, and the callers get their
-    /// replies.
+    /// A voter has accepted. Once a quorum has, the items are chosen: all replicas are notified, and the callers get
+    /// their replies.
     pub(super) fn on_accepted(
         &mut self,
         from: Ipv4Addr,
--- a/crates/emberpin-consensus/src/round.rs
+++ b/crates/emberpin-consensus/src/round.rs
@@ -160,8 +160,9 @@
             .retain(|voter, promise| !latest.is_superseded(*voter, promise.incarnation));
     }
 
-    /// Whether the proposal is sent to the voters even if it is empty. Only their answers show a leader that no other
-    /// proposer has been promised a higher ballot since, and only by them does a proposer become or stay the leader.
+    /// Whether the proposal is sent to the voters even if it is empty. A leader needs their answers, which show that
+    /// they have not promised a higher ballot to another proposer; and a proposer becomes or stays the leader only by
+    /// these answers.
     pub fn needs_acceptance(&self) -> bool {
         self.is_led
             || self
--- a/crates/emberpin-consensus/tests/cluster/checks.rs
+++ b/crates/emberpin-consensus/tests/cluster/checks.rs
@@ -120,9 +120,9 @@
         }
     }
 
-    /// A replica notifies its followers of chosen items. Checks that the merged configuration stays valid with each set
-    /// of items, as the first replica that reports a set has reported everything that was chosen before; and that
-    /// versions only rise at each replica.
+    /// A replica notifies its followers of chosen items. Checks that versions only rise at each replica, and that the
+    /// merged configuration is valid after each new set of items: everything that was chosen before is merged by then,
+    /// as the first replica that reports a set has reported it.
     pub(super) fn on_learned(&mut self, ip: Ipv4Addr, items: &[Item]) {
         let merged = &mut self.observed.merged;
         let mut has_new = false;
--- a/crates/emberpin-consensus/tests/cluster/clients.rs
+++ b/crates/emberpin-consensus/tests/cluster/clients.rs
@@ -74,7 +74,7 @@
         }
         Reply {
             status: 503,
-            body: "never answered".into(),
+            body: "no reply other than 503 in 20 attempts".into(),
         }
     }
 
--- a/crates/emberpin-consensus/tests/cluster/node.rs
+++ b/crates/emberpin-consensus/tests/cluster/node.rs
@@ -8,7 +8,7 @@
 #[derive(Default)]
 pub struct Node {
     pub replica: Option<Replica>,
-    /// The number of starts of its process, which identifies its current incarnation.
+    /// The number of starts of its process, which identifies the process that runs now.
     pub(super) process: u64,
     pub(super) disk: Vec<WriteBatch>,
     /// How many writes of the disk are synced.
--- a/crates/emberpin-consensus/tests/contact.rs
+++ b/crates/emberpin-consensus/tests/contact.rs
@@ -18,7 +18,8 @@
     cluster
 }
 
-/// The statuses of a change and a read at a replica whose peers were killed right before, `after` milliseconds later.
+/// A change and a read at a replica whose peers were killed right before. Returns their statuses after `after`
+/// milliseconds.
 fn statuses_in_a_minority(guards: Guards, after: u64) -> [Option<u16>; 2] {
     let mut cluster = running_cluster(guards);
     cluster.kill(ip(2));
@@ -72,6 +73,7 @@
     expect_that!(cluster.calls[call].status(), some(eq(200)));
 }
 
+/// If each call restarted the comparisons, none would be answered in time for the contact checks.
 #[gtest]
 fn many_calls_at_once_do_not_keep_a_replica_from_being_confirmed() {
     let mut cluster = running_cluster(Guards::default());
--- a/crates/emberpin-consensus/tests/linearizability.rs
+++ b/crates/emberpin-consensus/tests/linearizability.rs
@@ -106,7 +106,7 @@
     let mut tester = LinearizabilityTester::new(AcknowledgedVersions::default());
     let mut undecided_calls = 0;
     for event in &cluster.history {
-        let taken = match event {
+        let recorded = match event {
             HistoryEvent::Called(id) => {
                 let call = &cluster.calls[*id];
                 let is_undecided = call.status().is_none_or(|status| status == 503);
@@ -130,7 +130,7 @@
                 tester.on_return(*id, outcome)
             }
         };
-        taken.expect("a call comes before its reply");
+        recorded.expect("a call comes before its reply");
     }
     tester.is_consistent()
 }
--- a/crates/emberpin-consensus/tests/model.rs
+++ b/crates/emberpin-consensus/tests/model.rs
@@ -7,8 +7,8 @@
 use googletest::prelude::*;
 use register::{
     search, Action, Mutation, RegisterModel, ACKNOWLEDGED, CAUGHT_UP, FIRST_WRITER,
-    LED_ROUND_CHOSEN, RECOVERING, REJECTED, ROSTER_CHANGED, ROSTER_CHANGER, SECOND_WRITER,
-    STALE_READ, TWO_CHOSEN,
+    LED_ROUND_CHOSEN, NO_CONFLICT_CHOSEN, NO_STALE_READ, RECOVERING, REJECTED, ROSTER_CHANGED,
+    ROSTER_CHANGER, SECOND_WRITER,
 };
 
 /// A model with these rounds and no faults; the tests add the faults that they need.
@@ -85,7 +85,7 @@
     };
     expect_that!(
         violation_with(Mutation::VoteBeforeCatchUp, bounds),
-        some(eq(STALE_READ))
+        some(eq(NO_STALE_READ))
     );
 }
 
@@ -97,7 +97,7 @@
     };
     expect_that!(
         violation_with(Mutation::CatchUpWithoutPromises, bounds),
-        some(eq(STALE_READ))
+        some(eq(NO_STALE_READ))
     );
 }
 
@@ -109,7 +109,7 @@
     };
     expect_that!(
         violation_with(Mutation::CountStalePromises, bounds),
-        some(eq(TWO_CHOSEN))
+        some(eq(NO_CONFLICT_CHOSEN))
     );
 }
 
@@ -122,7 +122,7 @@
     };
     expect_that!(
         violation_with(Mutation::ForgetIncarnations, bounds),
-        some(eq(TWO_CHOSEN))
+        some(eq(NO_CONFLICT_CHOSEN))
     );
 }
 
@@ -137,7 +137,7 @@
     };
     expect_that!(
         violation_with(Mutation::CheckIncarnationsOnAcceptOnly, bounds),
-        some(eq(TWO_CHOSEN))
+        some(eq(NO_CONFLICT_CHOSEN))
     );
 }
 
@@ -146,7 +146,7 @@
     let bounds = only_rounds(&[ROSTER_CHANGER, FIRST_WRITER, SECOND_WRITER]);
     expect_that!(
         violation_with(Mutation::OldMajorityAlone, bounds),
-        some(eq(STALE_READ))
+        some(eq(NO_STALE_READ))
     );
 }
 
@@ -155,7 +155,7 @@
     let bounds = only_rounds(&[FIRST_WRITER, ROSTER_CHANGER, SECOND_WRITER]);
     expect_that!(
         violation_with(Mutation::NoTransfer, bounds),
-        some(eq(STALE_READ))
+        some(eq(NO_STALE_READ))
     );
 }
 
@@ -166,7 +166,7 @@
             Mutation::NoReproposal,
             only_rounds(&[FIRST_WRITER, SECOND_WRITER])
         ),
-        some(eq(STALE_READ))
+        some(eq(NO_STALE_READ))
     );
 }
 
@@ -175,7 +175,7 @@
     let bounds = only_rounds(&[SECOND_WRITER, FIRST_WRITER, SECOND_WRITER]);
     expect_that!(
         violation_with(Mutation::IgnoreBallotOrder, bounds),
-        some(eq(STALE_READ))
+        some(eq(NO_STALE_READ))
     );
 }
 
@@ -187,7 +187,7 @@
     };
     expect_that!(
         violation_with(Mutation::ForgetAcceptedBallot, bounds),
-        some(eq(TWO_CHOSEN))
+        some(eq(NO_CONFLICT_CHOSEN))
     );
 }
 
@@ -199,7 +199,7 @@
     };
     expect_that!(
         violation_with(Mutation::AnswerBeforeSync, bounds),
-        some(eq(STALE_READ))
+        some(eq(NO_STALE_READ))
     );
 }
 
@@ -210,7 +210,7 @@
             Mutation::BreakPromises,
             only_rounds(&[FIRST_WRITER, SECOND_WRITER])
         ),
-        some(eq(TWO_CHOSEN))
+        some(eq(NO_CONFLICT_CHOSEN))
     );
 }
 
@@ -318,7 +318,7 @@
     };
     expect_that!(
         violation_with(Mutation::AnswerBeforePromiseSync, bounds),
-        some(eq(TWO_CHOSEN))
+        some(eq(NO_CONFLICT_CHOSEN))
     );
 }
 
@@ -327,11 +327,11 @@
     let bounds = led_rounds(&[FIRST_WRITER, FIRST_WRITER, SECOND_WRITER]);
     expect_that!(
         violation_with(Mutation::OmitLastItems, bounds),
-        some(eq(STALE_READ))
+        some(eq(NO_STALE_READ))
     );
 }
 
-/// Announced items may be lost with the power, as voters write them without a sync.
+/// Items that voters learn outside of rounds may be lost with the power, as they are written without a sync.
 #[gtest]
 fn search_detects_proposals_without_last_items_that_all_voters_have_learned() {
     let bounds = RegisterModel {
@@ -341,7 +341,7 @@
     };
     expect_that!(
         violation_with(Mutation::OmitLearnedItems, bounds),
-        some(eq(STALE_READ))
+        some(eq(NO_STALE_READ))
     );
 }
 
@@ -350,7 +350,7 @@
     let bounds = led_rounds(&[FIRST_WRITER, FIRST_WRITER, SECOND_WRITER]);
     expect_that!(
         violation_with(Mutation::LeadRosterChange, bounds),
-        some(eq(STALE_READ))
+        some(eq(NO_STALE_READ))
     );
 }
 
--- a/crates/emberpin-consensus/tests/model/led_rounds.rs
+++ b/crates/emberpin-consensus/tests/model/led_rounds.rs
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Whether the voters whose promises are not void are a quorum.
+    /// Whether the voters whose promises are not stale include a quorum.
     fn has_valid_quorum(&self, leadership: &Leadership) -> bool {
         let roster = self.roster(leadership.uses_second_roster);
         let promising = (0..NODES)
@@ -126,7 +126,7 @@
             is_led: true,
             known,
             promising_incarnations: [None; NODES],
-            accepted: 0,
+            accepted_by: 0,
             outcome,
             acknowledged_before: state.acknowledged,
             replica: number,
@@ -172,7 +172,7 @@
     }
 }
 
-/// Whether none of these voters' promises is void because another one reports a later incarnation of its voter.
+/// Whether none of these voters' promises is stale: none of the others reports a later incarnation of its voter.
 fn are_valid(leadership: &Leadership, quorum: u8) -> bool {
     let promises = || {
         (0..NODES)
--- a/crates/emberpin-consensus/tests/model/register.rs
+++ b/crates/emberpin-consensus/tests/model/register.rs
@@ -10,8 +10,8 @@
 use led_rounds::{Leadership, NextBallotPromise};
 use stateright::{Checker, HasDiscoveries, Model, Path, Property};
 
-/// The number of machines: three voters, and one that is to replace the last of them; or five voters whose roster does
-/// not change.
+/// The greatest number of machines that a search needs: five voters whose roster does not change. The other searches
+/// use four: three voters, and one that is to replace the last of them.
 const NODES: usize = 5;
 const PROPOSERS: u8 = 4;
 pub const FIRST_WRITER: u8 = 0;
@@ -33,8 +33,8 @@
 const SECOND: Items = 2;
 const ROSTER: Items = 4;
 
-/// The counter times the number of proposers, plus the proposer's number; 0 for none. As only the order of ballots
-/// matters, no two ballots have the same counter.
+/// The counter times the number of proposers, plus the proposer's number; 0 for none. [`RegisterModel::order`] gives
+/// each counter to one proposer only, as ballots with equal counters would add no other order of ballots.
 pub type Ballot = u8;
 
 /// A fault in the protocol, which the search has to detect.
@@ -193,7 +193,8 @@
     pub known: Items,
     /// The incarnation in which each voter promised; only for [`Mutation::CheckIncarnationsOnAcceptOnly`].
     pub promising_incarnations: [Option<Ballot>; NODES],
-    pub accepted: u8,
+    /// The set of voters that accepted the proposal.
+    pub accepted_by: u8,
     /// The reply to its caller once the proposal is chosen.
     pub outcome: Reply,
     /// The items that were acknowledged before it began.
@@ -298,10 +299,11 @@
 
     /// The ballot of a proposer's next round, after it has begun `rounds` rounds; `None` if it owns no further ballot.
     fn ballot(&self, number: u8, rounds: u8) -> Option<Ballot> {
-        let mut own = (1..)
+        let mut ballots = (1..)
             .zip(&self.order)
             .filter(|(_, owner)| **owner == number);
-        own.nth(usize::from(rounds))
+        ballots
+            .nth(usize::from(rounds))
             .map(|(counter, _)| counter * PROPOSERS + number)
     }
 
@@ -363,13 +365,13 @@
 
     /// Whether these voters, without the excluded one, are a quorum for a round.
     fn has_quorum(&self, round: &Round, voters: u8, excluded_voter: Option<usize>) -> bool {
-        let has_quorum = |roster: u8| {
+        let has_majority = |roster: u8| {
             // A replica that lost its disk does not count itself in the quorum.
             let others = excluded_voter.map_or(roster, |excluded| roster & !(1 << excluded));
             is_majority(voters & others, roster)
         };
-        let has_current = has_quorum(self.roster(round.uses_second_roster));
-        has_current && (!round.joint || has_quorum(ROSTERS[1]))
+        let has_current = has_majority(self.roster(round.uses_second_roster));
+        has_current && (!round.joint || has_majority(ROSTERS[1]))
     }
 
     fn begin(
@@ -381,19 +383,19 @@
         joint: bool,
     ) {
         let number = usize::from(proposer(ballot));
-        let own = &mut state.proposers[number];
-        (own.rounds, own.saw_roster_change) = (own.rounds + 1, false);
-        own.leadership = None;
+        let owner = &mut state.proposers[number];
+        (owner.rounds, owner.saw_roster_change) = (owner.rounds + 1, false);
+        owner.leadership = None;
         if uses_second_roster {
             self.learn(&mut state.nodes[usize::from(replica)].memory, ROSTER);
         }
-        let own = |round: &&mut Round| {
+        let is_earlier_round = |round: &&mut Round| {
             proposer(round.ballot) == proposer(ballot) && round.replica == replica
         };
         state
             .rounds
             .iter_mut()
-            .filter(own)
+            .filter(is_earlier_round)
             .for_each(|round| round.is_over = true);
         let acknowledged_before = state.acknowledged;
         state.rounds.push(Round {
@@ -407,7 +409,7 @@
             is_led: false,
             known: 0,
             promising_incarnations: [None; NODES],
-            accepted: 0,
+            accepted_by: 0,
             outcome: Reply::Nothing,
             acknowledged_before,
             replica,
@@ -417,9 +419,9 @@
 
     fn prepare(&self, node: &mut Node, round: &Round) -> Promise {
         let ballot = round.ballot;
-        let promises =
+        let makes_promise =
             !(self.has(Mutation::CatchUpWithoutPromises) && proposer(ballot) == RECOVERING);
-        if promises {
+        if makes_promise {
             node.memory.promised = ballot;
             if proposer(ballot) == RECOVERING {
                 node.memory.latest_incarnations[usize::from(round.replica)] = ballot;
@@ -569,7 +571,7 @@
     /// up before one of the other voters promised.
     fn are_promises_valid(&self, round: &Round, quorum: u8) -> bool {
         let latest_incarnations = RegisterModel::latest_incarnations(round, quorum);
-        let are_promises_valid = |voter: usize| {
+        let is_promise_valid = |voter: usize| {
             round.promises[voter]
                 .is_none_or(|promise| promise.incarnation >= latest_incarnations[voter])
         };
@@ -578,7 +580,7 @@
         unchecked
             || (0..NODES)
                 .filter(|voter| quorum & 1 << voter != 0)
-                .all(are_promises_valid)
+                .all(is_promise_valid)
     }
 
     /// Whether a voter accepts the proposal when it receives it.
@@ -640,8 +642,8 @@
             incarnation: node.memory.incarnation,
             latest_incarnations: node.memory.latest_incarnations,
         });
-        round.accepted |= 1 << voter;
-        if self.has_quorum(round, round.accepted, None) {
+        round.accepted_by |= 1 << voter;
+        if self.has_quorum(round, round.accepted_by, None) {
             state.chosen |= proposal.items;
         }
     }
@@ -660,12 +662,12 @@
         let cannot_promise = |round: &Round| {
             let can_promise =
                 |voter: &usize| round.promises[*voter].is_some() || !rejects(*voter, round);
-            let can_promise = (0..NODES)
+            let candidates = (0..NODES)
                 .filter(can_promise)
-                .fold(0, |can_promise, voter| can_promise | 1 << voter);
+                .fold(0, |candidates, voter| candidates | 1 << voter);
             may_reduce
                 && disk_losses == self.disk_losses
-                && !self.has_quorum(round, can_promise, None)
+                && !self.has_quorum(round, candidates, None)
         };
         state.rounds.retain(|round| match round.proposal {
             Some(_) => !round.is_over || !is_rejected(round),
@@ -697,8 +699,8 @@
                 (round.promises, round.acknowledged_before) = ([None; NODES], 0);
                 (round.replica, round.outcome) = (0, Reply::Nothing);
                 (round.next_promises, round.is_led, round.known) = ([None; NODES], false, 0);
-                if self.has_quorum(round, round.accepted, None) {
-                    round.accepted = self.targets(round);
+                if self.has_quorum(round, round.accepted_by, None) {
+                    round.accepted_by = self.targets(round);
                 }
             }
         }
@@ -766,11 +768,11 @@
     fn voter_actions(&self, state: &State, round: &Round, actions: &mut Vec<Action>) {
         let ballot = round.ballot;
         let targets = (0..NODES as u8).filter(|voter| self.targets(round) & 1 << voter != 0);
-        let knows_no_newer_roster =
+        let is_roster_current =
             |node: &Node| round.uses_second_roster || node.memory.chosen & ROSTER == 0;
         for voter in targets {
             let node = &state.nodes[usize::from(voter)];
-            if !node.memory.voting || !knows_no_newer_roster(node) {
+            if !node.memory.voting || !is_roster_current(node) {
                 continue;
             }
             let keeps_promises = !self.has(Mutation::BreakPromises);
@@ -793,7 +795,7 @@
             return;
         }
         if round.proposal.is_some() {
-            if self.has_quorum(round, round.accepted, None) {
+            if self.has_quorum(round, round.accepted_by, None) {
                 actions.push(Action::Finish { ballot });
             }
             return;
@@ -803,8 +805,9 @@
             .fold(0, |promising, voter| promising | 1 << voter);
         let excluded = (proposer(ballot) == RECOVERING).then_some(usize::from(round.replica));
         for quorum in (1..1u8 << NODES).filter(|quorum| quorum & !promising == 0) {
-            let is_needed = |last: usize| {
-                quorum & 1 << last != 0 && !self.has_quorum(round, quorum & !(1 << last), excluded)
+            let is_needed = |voter: usize| {
+                quorum & 1 << voter != 0
+                    && !self.has_quorum(round, quorum & !(1 << voter), excluded)
             };
             if self.are_promises_valid(round, quorum)
                 && self.has_quorum(round, quorum, excluded)
@@ -848,9 +851,9 @@
             } else {
                 ROSTERS[0] | ROSTERS[1]
             };
-            let disk =
+            let with_disk =
                 (0..NODES as u8).filter(|voter| machines & !state.without_disk & 1 << voter != 0);
-            actions.extend(disk.map(|voter| Action::LoseDisk { voter }));
+            actions.extend(with_disk.map(|voter| Action::LoseDisk { voter }));
         }
         if state.power_losses < self.power_losses {
             let unsynced = (0..NODES as u8).filter(|voter| {
@@ -987,8 +990,8 @@
 
     fn properties(&self) -> Vec<Property<RegisterModel>> {
         let mut all = vec![
-            Property::always(STALE_READ, |_, state: &State| !state.read_is_stale),
-            Property::always(TWO_CHOSEN, |_, state: &State| {
+            Property::always(NO_STALE_READ, |_, state: &State| !state.read_is_stale),
+            Property::always(NO_CONFLICT_CHOSEN, |_, state: &State| {
                 state.chosen & (FIRST | SECOND) != FIRST | SECOND
             }),
         ];
@@ -1024,8 +1027,8 @@
 pub const ROSTER_CHANGED: &str = "the roster is changed";
 pub const ALL_IN_ONE_RUN: &str = "a write, a recovery and a change of the roster in one run";
 pub const LED_ROUND_CHOSEN: &str = "a round without a phase 1 of its own is chosen";
-pub const STALE_READ: &str = "a read sees everything acknowledged before it";
-pub const TWO_CHOSEN: &str = "of two items that conflict one at most is chosen";
+pub const NO_STALE_READ: &str = "a read sees everything acknowledged before it";
+pub const NO_CONFLICT_CHOSEN: &str = "of two items that conflict one at most is chosen";
 
 /// The result of a search.
 pub struct SearchResult {
@@ -1042,21 +1045,21 @@
 }
 
 /// Searches breadth first, and returns a shortest trace to each violation.
-#[allow(dead_code, reason = "the example searches up to a number of states")]
+#[allow(dead_code, reason = "examples/search_model.rs uses only search_up_to")]
 pub fn search(model: RegisterModel, threads: usize) -> SearchResult {
     search_up_to(model, threads, usize::MAX)
 }
 
 /// Like [`search`], up to about `max_states` states.
 pub fn search_up_to(model: RegisterModel, threads: usize, max_states: usize) -> SearchResult {
-    let mut result = search_to(model.clone(), threads, None, max_states);
+    let mut result = search_once(model.clone(), threads, None, max_states);
     // Among states of nearly the same depth the checker keeps the one that it saw last, so the first trace need not be
     // a shortest one.
     while let Some(steps) = result.violated.iter().map(|(_, trace)| trace.len()).min() {
         if !model.shortest {
             break;
         }
-        let shorter = search_to(model.clone(), threads, Some(steps), max_states);
+        let shorter = search_once(model.clone(), threads, Some(steps), max_states);
         if !shorter
             .violated
             .iter()
@@ -1069,8 +1072,9 @@
     result
 }
 
-/// Searches up to about `max_states` states, and only traces of fewer than `steps` steps if that is given.
-fn search_to(
+/// Runs the checker once, up to about `max_states` states, and only on traces of fewer than `steps` steps if that is
+/// given.
+fn search_once(
     model: RegisterModel,
     threads: usize,
     steps: Option<usize>,
@@ -1094,7 +1098,7 @@
             .cloned()
             .map(|path: Path<_, _>| path.into_actions())
     };
-    let violated = [STALE_READ, TWO_CHOSEN]
+    let violated = [NO_STALE_READ, NO_CONFLICT_CHOSEN]
         .into_iter()
         .filter_map(|name| trace(name).map(|trace| (name, trace)))
         .collect();
@@ -1102,7 +1106,7 @@
     let sometimes = sometimes
         .iter()
         .map(|property| property.name)
-        .filter(|name| ![STALE_READ, TWO_CHOSEN].contains(name));
+        .filter(|name| ![NO_STALE_READ, NO_CONFLICT_CHOSEN].contains(name));
     SearchResult {
         states: checker.unique_state_count(),
         complete: checker.state_count() < max_states,
--- a/crates/emberpin-consensus/tests/register_callers/registry.rs
+++ b/crates/emberpin-consensus/tests/register_callers/registry.rs
@@ -60,7 +60,9 @@
     operation: Operation,
     wait: u64,
     deadline: u64,
+    /// Whether an attempt may have had an effect; unknown while one is in progress.
     effect: PossibleEffect,
+    /// Whether an attempt before the one in progress may have had an effect.
     effect_before_attempt: PossibleEffect,
     attempt: Option<Attempt>,
 }
@@ -68,6 +70,7 @@
 #[derive(Debug)]
 pub struct Registry {
     leader: Option<Ipv4Addr>,
+    /// Until when each replica is suspected to be down.
     suspects: BTreeMap<Ipv4Addr, u64>,
     /// Whether it tries replicas in the order of their addresses.
     is_in_order: bool,
--- a/crates/emberpin-consensus/tests/retries.rs
+++ b/crates/emberpin-consensus/tests/retries.rs
@@ -344,8 +344,8 @@
         name: "x".into(),
     };
     for host in 1..=3 {
-        let store = cluster.replica(ip(host)).expect("a store");
-        let history = store.state().get(&History::key(&x)).cloned();
+        let replica = cluster.replica(ip(host)).expect("a running replica");
+        let history = replica.state().get(&History::key(&x)).cloned();
         expect_that!(
             history.as_ref().map(|item| item.version),
             some(eq(Version(1))),
--- a/crates/emberpin-coordination/src/history.rs
+++ b/crates/emberpin-coordination/src/history.rs
@@ -131,8 +131,8 @@
 ) -> Result<Vec<CellEvent>, InvalidRegister> {
     let mut events = Vec::new();
     let mut next = after.next();
-    for segment in segment_of(after.next())..=segment_of(last) {
-        let segment: Segment = read(registers, &segment_key(group, segment))?;
+    for number in segment_of(after.next())..=segment_of(last) {
+        let segment: Segment = read(registers, &segment_key(group, number))?;
         for event in segment.events {
             if event.revision == next {
                 next = next.next();
