--- a/crates/emberpin-balancer/tests/common/fleet.rs
+++ b/crates/emberpin-balancer/tests/common/fleet.rs
@@ -21,12 +21,14 @@
 enum Event {
     /// The next request arrives.
     Arrival,
-    Feed {
+    /// A gateway receives an event.
+    Deliver {
         to: usize,
         incarnation: u32,
         event: emberpin_balancer::Event,
     },
-    Ended {
+    /// An attempt ends.
+    AttemptEnded {
         to: usize,
         incarnation: u32,
         attempt: AttemptResult,
@@ -38,8 +40,8 @@
     /// When it will have completed its queued requests.
     idle_at: Millis,
     in_flight: u32,
-    /// The attempts that it was sent while warming up: when, and their work in seconds of its capacity at that
-    /// time.
+    /// The attempts that it was sent while warming up: when, and how many seconds their work would take it at its
+    /// capacity of that time.
     sent_while_warming: Vec<(Millis, f64)>,
 }
 
@@ -65,10 +67,11 @@
     servers: BTreeMap<ServerId, SimulatedServer>,
     /// Pending requests: their gateway, when they arrived, and the number of their attempts.
     requests: BTreeMap<RequestId, (usize, Millis, u32)>,
-    /// For each gateway, the messages that it can receive, and when that was updated.
+    /// For each gateway, when its budget was last updated, and how many messages it could receive then.
     message_budgets: Vec<(Millis, f64)>,
-    next: u32,
-    scheduled: u64,
+    next_request: u32,
+    /// The number of events scheduled so far, which is also the number of the last one.
+    scheduled_count: u64,
     outcomes: Outcomes,
 }
 
@@ -86,8 +89,8 @@
             servers: BTreeMap::new(),
             requests: BTreeMap::new(),
             message_budgets: vec![(now, 1.0); size.gateways as usize],
-            next: 0,
-            scheduled: 0,
+            next_request: 0,
+            scheduled_count: 0,
             outcomes: Outcomes::default(),
             settings: Settings {
                 group_size: size.gateways,
@@ -141,11 +144,11 @@
     }
 
     fn schedule(&mut self, when: Millis, event: Event) {
-        self.scheduled += 1;
-        self.pending_events.insert(self.scheduled, event);
+        self.scheduled_count += 1;
+        self.pending_events.insert(self.scheduled_count, event);
         self.events.push(Reverse((
             (when.max(self.now) * 1000.0) as u64,
-            self.scheduled,
+            self.scheduled_count,
         )));
     }
 
@@ -175,7 +178,7 @@
             let incarnation = self.gateways[to].1;
             self.schedule(
                 when,
-                Event::Feed {
+                Event::Deliver {
                     to,
                     incarnation,
                     event,
@@ -213,18 +216,18 @@
             self.now = when as f64 / 1000.0;
             match self.pending_events.remove(&number) {
                 Some(Event::Arrival) => self.arrive(),
-                Some(Event::Feed {
+                Some(Event::Deliver {
                     to,
                     incarnation,
                     event,
                 }) if self.gateways[to].1 == incarnation => {
                     self.handle_event(to, event);
                 }
-                Some(Event::Ended {
+                Some(Event::AttemptEnded {
                     to,
                     incarnation,
                     attempt,
-                }) => self.ended(to, incarnation, attempt),
+                }) => self.on_attempt_ended(to, incarnation, attempt),
                 _ => {}
             }
         }
@@ -237,8 +240,8 @@
         let interval = self.exponential(1000.0 / rate);
         self.schedule(self.now + interval, Event::Arrival);
         let to = self.random.rand_range(0..self.gateways.len() as u64) as usize;
-        let (id, group) = (RequestId(self.next), self.size.gateways);
-        self.next += 1;
+        let (id, group) = (RequestId(self.next_request), self.size.gateways);
+        self.next_request += 1;
         self.requests.insert(id, (to, self.now, 0));
         self.outcomes.requested += 1;
         self.handle_event(
@@ -247,7 +250,7 @@
                 id,
                 class: ClassId(0),
                 plan: PlanId(0),
-                customer: CustomerId(u64::from(self.next)),
+                customer: CustomerId(u64::from(self.next_request)),
                 remaining: self.settings.classes[0].deadline,
                 units: 1.0,
                 gateways: GatewaySet {
@@ -278,7 +281,7 @@
                     let event = emberpin_balancer::Event::Timer { token };
                     self.schedule(
                         self.now + delay,
-                        Event::Feed {
+                        Event::Deliver {
                             to,
                             incarnation,
                             event,
@@ -310,7 +313,7 @@
             };
             self.schedule(
                 when,
-                Event::Feed {
+                Event::Deliver {
                     to,
                     incarnation,
                     event,
@@ -370,7 +373,7 @@
         };
         self.schedule(
             now + elapsed,
-            Event::Ended {
+            Event::AttemptEnded {
                 to,
                 incarnation,
                 attempt,
@@ -378,7 +381,7 @@
         );
     }
 
-    fn ended(&mut self, to: usize, incarnation: u32, mut attempt: AttemptResult) {
+    fn on_attempt_ended(&mut self, to: usize, incarnation: u32, mut attempt: AttemptResult) {
         let server_model = self
             .servers
             .get_mut(&attempt.server)
@@ -386,8 +389,8 @@
         server_model.in_flight -= 1;
         attempt.load.queue_length = Some(f64::from(server_model.in_flight.saturating_sub(1)));
         if attempt.outcome == Outcome::Ok {
-            if let Some((_, requested, _)) = self.requests.remove(&attempt.request) {
-                let in_time = self.now - requested <= self.settings.classes[0].latency_target;
+            if let Some((_, arrived_at, _)) = self.requests.remove(&attempt.request) {
+                let in_time = self.now - arrived_at <= self.settings.classes[0].latency_target;
                 *(if in_time {
                     &mut self.outcomes.in_time
                 } else {
--- a/crates/emberpin-balancer/tests/handover.rs
+++ b/crates/emberpin-balancer/tests/handover.rs
@@ -5,7 +5,7 @@
 use common::*;
 use emberpin_balancer::*;
 
-const WITH_RATE_LIMIT: usize = 1;
+const RATE_LIMITED_PLAN: usize = 1;
 
 /// Starts the next process from the handover of this harness; returns it and whether the whole state was restored.
 fn successor(harness: &Harness, settings: Settings, servers: u32) -> (Harness, bool) {
@@ -49,7 +49,7 @@
 
 #[test]
 fn used_quotas_and_rate_limits_stay_used_after_a_handover() {
-    for plan in [0, WITH_RATE_LIMIT] {
+    for plan in [0, RATE_LIMITED_PLAN] {
         let mut old = Harness::new(settings(), 3);
         let first = admit(&mut old, None, plan, 5, 200);
         assert!(first > 0);
@@ -58,7 +58,7 @@
         assert_eq!(admit(&mut new, None, plan, 5, 200), 0, "after {first}");
         // After a kill instead of a handover, a part of the burst is available again.
         let mut killed = old.restarted(settings(), 3);
-        assert!(plan == WITH_RATE_LIMIT || admit(&mut killed, None, plan, 5, 200) > 0);
+        assert!(plan == RATE_LIMITED_PLAN || admit(&mut killed, None, plan, 5, 200) > 0);
     }
 }
 
--- a/crates/emberpin-balancer/tests/host_queries.rs
+++ b/crates/emberpin-balancer/tests/host_queries.rs
@@ -1,5 +1,5 @@
-//! Methods for hosts beside events: classes that are added later, reported capacity, the preference for the own
-//! zone, and whether a retry would follow.
+//! Methods of the gateway that hosts call besides passing events: classes that are added later, reported capacity, the
+//! preference for the own zone, and whether a retry would follow.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -141,7 +141,7 @@
 }
 
 /// A gateway whose throughput is known and so low that the lower bound on the onset applies.
-fn quiet() -> Harness {
+fn with_low_throughput() -> Harness {
     let mut harness = Harness::just_started(single_gateway(), 12);
     harness.serve_for(20.0, 3_000.0);
     harness
@@ -150,15 +150,15 @@
 /// Without reports the lower bound is two attempts for each of twelve servers.
 #[test]
 fn the_lower_bound_of_the_onset_depends_on_the_number_of_servers() {
-    assert!(!is_congested_with(&mut quiet(), 24));
-    assert!(is_congested_with(&mut quiet(), 25));
+    assert!(!is_congested_with(&mut with_low_throughput(), 24));
+    assert!(is_congested_with(&mut with_low_throughput(), 25));
 }
 
 /// The reported capacity may be above or below the default bound.
 #[test]
 fn reported_capacity_replaces_the_default_lower_bound_of_the_onset() {
     let with_reported_capacity = |count: f64| {
-        let mut harness = quiet();
+        let mut harness = with_low_throughput();
         harness.gateway.set_reported_capacity(count);
         harness
     };
@@ -355,7 +355,7 @@
 
 #[test]
 fn no_retry_would_follow_while_congested() {
-    let mut harness = quiet();
+    let mut harness = with_low_throughput();
     let (request, _) = harness.arrive(SAFE, 0, 1);
     assert!(would_retry(&harness, request));
     assert!(is_congested_with(&mut harness, 40));
@@ -365,7 +365,7 @@
 /// Whether a request is retried whose attempt was in flight while the gateway was quiet and ends once it is
 /// congested.
 fn retried_although_congested(reserve: bool) -> bool {
-    let mut harness = quiet();
+    let mut harness = with_low_throughput();
     let (request, actions) = harness.arrive(SAFE, 0, 1);
     let to = sent_to(&actions).expect("sent");
     if reserve {
--- a/crates/emberpin-balancer/tests/invariants.rs
+++ b/crates/emberpin-balancer/tests/invariants.rs
@@ -300,7 +300,7 @@
                 self.check(&actions)?;
             }
             Step::Wait { time } => {
-                // An attempt ends at its time-out, reported with the batch that follows it.
+                // An attempt that times out is reported with the next batch of events.
                 let actions = self.harness.advance(time);
                 self.check(&actions)?;
                 let overdue: Vec<RequestId> = self
--- a/crates/emberpin-balancer/tests/large_group.rs
+++ b/crates/emberpin-balancer/tests/large_group.rs
@@ -7,7 +7,7 @@
 use emberpin_balancer::*;
 
 /// Settings of gateway `number` in a group of `group` gateways whose peers cannot receive every announcement.
-fn one_of(number: u32, group: u32) -> Settings {
+fn member_settings(number: u32, group: u32) -> Settings {
     Settings {
         gateway_id: GatewayId(number),
         group_size: group,
@@ -48,10 +48,10 @@
 #[test]
 fn many_isolated_gateways_do_not_overload_a_cold_server() {
     const GROUP: u32 = 120;
-    const FLEET: u32 = 24;
+    const SERVERS: u32 = 24;
     // Each gateway serves 5 requests a second, which is 25 a second for each warm server.
     let mut gateways: Vec<Harness> = (0..GROUP)
-        .map(|number| Harness::just_started(one_of(number, GROUP), FLEET))
+        .map(|number| Harness::just_started(member_settings(number, GROUP), SERVERS))
         .collect();
     for harness in &mut gateways {
         harness.serve_for(5.0, 8_000.0);
@@ -60,7 +60,7 @@
     let start = gateways[0].now;
     for harness in &mut gateways {
         harness.now = start;
-        let mut entries: Vec<Server> = (0..FLEET).map(server).collect();
+        let mut entries: Vec<Server> = (0..SERVERS).map(server).collect();
         entries[0].started_at = Some(start);
         entries[1..]
             .iter_mut()
@@ -99,20 +99,20 @@
     }
 }
 
-/// Runs gateways that have just started with all their servers, none of which was ever observed warm, for 10 s.
-/// Each gateway sends one request in `every` steps of 100 ms, and servers report `queue_length`, if any. Returns
-/// the times of the attempts at each server, and the share of the requests that were admitted.
+/// Runs gateways for 10 s that have started at the same time as all their servers, and have seen none of them warm.
+/// Each gateway sends one request per `steps_per_request` steps of 100 ms, and servers report `queue_length`, if any.
+/// Returns the times of the attempts at each server, and the share of the requests that were admitted.
 fn run_without_warm_servers(
     group: u32,
-    fleet: u32,
-    every: u32,
+    servers: u32,
+    steps_per_request: u32,
     queue_length: Option<f64>,
 ) -> (Vec<Vec<f64>>, f64) {
     let mut gateways: Vec<Harness> = (0..group)
-        .map(|number| Harness::just_started(one_of(number, group), 0))
+        .map(|number| Harness::just_started(member_settings(number, group), 0))
         .collect();
     let start = gateways[0].now;
-    let mut cold_servers: Vec<Server> = (0..fleet).map(server).collect();
+    let mut cold_servers: Vec<Server> = (0..servers).map(server).collect();
     cold_servers
         .iter_mut()
         .for_each(|entry| entry.started_at = Some(start));
@@ -120,12 +120,12 @@
         harness.now = start;
         harness.update_membership(MembershipUpdate::Full(cold_servers.clone()));
     }
-    let (mut sends, mut requested, mut admitted) = (vec![Vec::new(); fleet as usize], 0, 0);
+    let (mut sends, mut requested, mut admitted) = (vec![Vec::new(); servers as usize], 0, 0);
     for step in 1..=100u32 {
         for (number, harness) in gateways.iter_mut().enumerate() {
             harness.now = start + f64::from(step) * 100.0;
             harness.handle(Event::Timer { token: 0 });
-            if !(number as u32 + step).is_multiple_of(every) {
+            if !(number as u32 + step).is_multiple_of(steps_per_request) {
                 continue;
             }
             let (id, actions) =
@@ -148,23 +148,23 @@
 
 #[test]
 fn hundreds_of_gateways_without_warm_servers_take_turns_and_overload_none() {
-    for (group, fleet, every, min_share) in [
+    for (group, servers, steps_per_request, min_share) in [
         (300, 20, 10, 0.3),
         (300, 20, 1, 0.03),
         (100, 20, 10, 0.6),
         (30, 6, 10, 0.5),
     ] {
-        let (sends, share) = run_without_warm_servers(group, fleet, every, None);
+        let (sends, share) = run_without_warm_servers(group, servers, steps_per_request, None);
         assert!(share > min_share, "{group} gateways: {share:.2} admitted");
         // Servers that report full queues are sent no more than without reports; those that report empty queues are
         // sent more and more.
-        let (_, full) = run_without_warm_servers(group, fleet, every, Some(3.0));
+        let (_, full) = run_without_warm_servers(group, servers, steps_per_request, Some(3.0));
         assert!(
             full < share * 1.1,
             "{group} gateways: {full:.2} admitted, against {share:.2}"
         );
-        if every == 1 {
-            let (_, empty) = run_without_warm_servers(group, fleet, every, Some(0.0));
+        if steps_per_request == 1 {
+            let (_, empty) = run_without_warm_servers(group, servers, steps_per_request, Some(0.0));
             assert!(
                 empty > 2.5 * share,
                 "{group} gateways: {empty:.2} admitted, against {share:.2}"
@@ -200,7 +200,7 @@
 fn retries_of_hundreds_of_gateways_at_a_common_start_are_bounded_for_all_of_them() {
     let mut retries = 0;
     for number in 0..300 {
-        let mut harness = Harness::just_started(one_of(number, 300), 20);
+        let mut harness = Harness::just_started(member_settings(number, 300), 20);
         for number in 0..5 {
             let (id, mut actions) = request(&mut harness, number, 0, u64::from(number) + 1000, 1);
             let mut attempt = 0;
@@ -218,7 +218,7 @@
 #[test]
 fn a_rate_limit_holds_over_a_set_of_isolated_gateways_that_restart() {
     const SET: u32 = 10;
-    let mut large_quota = one_of(0, 120);
+    let mut large_quota = member_settings(0, 120);
     large_quota.plans[1].quota_rate = 1000.0;
     large_quota.plans[1].quota_burst = 1000.0;
     let mut used = 0;
@@ -278,7 +278,7 @@
 
 #[test]
 fn a_customer_of_a_large_set_is_admitted_although_its_split_burst_is_below_one_unit() {
-    let gateways = (0..100).map(|number| Harness::just_started(one_of(number, 120), 12));
+    let gateways = (0..100).map(|number| Harness::just_started(member_settings(number, 120), 12));
     let admitted =
         gateways.map(|mut harness| sent_to(&request(&mut harness, 1, 0, 5, 100).1).is_some());
     assert!(
@@ -289,7 +289,7 @@
 
 /// The gateways that own the quota of customer 5 in a set of 100: those that advise once its demand is too high.
 fn owners() -> Vec<u32> {
-    let mut harness = Harness::just_started(one_of(110, 120), 12);
+    let mut harness = Harness::just_started(member_settings(110, 120), 12);
     let entry = |n| gossip::Entry::Count {
         customer: 5,
         plan: 0,
@@ -299,20 +299,20 @@
         requested: n,
     };
     let advises = |number: u32| {
-        let mut harness = Harness::just_started(one_of(number, 120), 12);
+        let mut harness = Harness::just_started(member_settings(number, 120), 12);
         let mut writer = gossip::MessageBuilder::new(harness.now as u32, 0.0, 0.0);
         assert!(writer.push(entry(400.0)));
         harness.handle(Event::PeerMessage {
             from: GatewayId(119),
             bytes: writer.finish(),
         });
-        advised(&harness.advance(1000.0)) > 0
+        count_advice(&harness.advance(1000.0)) > 0
     };
-    assert_eq!(advised(&harness.advance(100.0)), 0);
+    assert_eq!(count_advice(&harness.advance(100.0)), 0);
     (0..100).filter(|number| advises(*number)).collect()
 }
 
-fn advised(actions: &[Action]) -> usize {
+fn count_advice(actions: &[Action]) -> usize {
     let entries = actions.iter().filter_map(|action| match action {
         Action::SendToPeer { bytes, .. } => gossip::decode(bytes),
         _ => None,
@@ -327,7 +327,7 @@
 fn two_owners_advise_a_large_set_within_what_peers_can_receive() {
     let owners = owners();
     assert_eq!(owners.len(), 2, "{owners:?}");
-    let mut harness = Harness::just_started(one_of(owners[0], 120), 12);
+    let mut harness = Harness::just_started(member_settings(owners[0], 120), 12);
     let mut sent = 0;
     for second in 1..=10 {
         let mut writer = gossip::MessageBuilder::new(harness.now as u32, 0.0, 0.0);
@@ -359,7 +359,7 @@
 
 #[test]
 fn advice_rejects_at_random_and_immediate_retries_gain_no_more_than_the_rate() {
-    let mut harness = Harness::just_started(one_of(owners()[0], 120), 12);
+    let mut harness = Harness::just_started(member_settings(owners()[0], 120), 12);
     let start = harness.now;
     let mut admitted = 0;
     for number in 0..6_000 {
@@ -380,7 +380,7 @@
         "200 requests per second, {rate} per second admitted of a rate of 10"
     );
 
-    let mut member = Harness::just_started(one_of(105, 120), 12);
+    let mut member = Harness::just_started(member_settings(105, 120), 12);
     let mut writer = gossip::MessageBuilder::new(member.now as u32, 0.0, 0.0);
     assert!(writer.push(gossip::Entry::Advice {
         customer: 9,
@@ -411,7 +411,7 @@
 
 #[test]
 fn a_pause_of_the_gateways_process_causes_no_ejection_and_no_congestion() {
-    let mut harness = Harness::just_started(one_of(0, 120), 12);
+    let mut harness = Harness::just_started(member_settings(0, 120), 12);
     harness.serve_for(20.0, 3_000.0);
     let in_flight: Vec<_> = (0..8)
         .map(|n| request(&mut harness, n, 0, 100 + u64::from(n), 1))
@@ -450,8 +450,8 @@
 
 #[test]
 fn one_attempt_in_flight_is_no_congestion_while_the_mean_is_low() {
-    let mut harness = Harness::just_started(one_of(0, 120), 24);
-    let peer = |harness: &mut Harness, in_flight: f64| {
+    let mut harness = Harness::just_started(member_settings(0, 120), 24);
+    let report_from_peers = |harness: &mut Harness, in_flight: f64| {
         for from in 1..60 {
             let bytes = gossip::MessageBuilder::new(1_000_000, in_flight, 5.0).finish();
             harness.handle(Event::PeerMessage {
@@ -472,13 +472,13 @@
             .count()
     };
     harness.now += 100.0;
-    peer(&mut harness, 0.3);
+    report_from_peers(&mut harness, 0.3);
     assert_eq!(
         count_rejected(&mut harness, 0),
         0,
         "a single attempt of this gateway is noise"
     );
-    peer(&mut harness, 9.0);
+    report_from_peers(&mut harness, 9.0);
     assert!(
         count_rejected(&mut harness, 1_000) > 30,
         "peers have far more than the onset in flight"
@@ -488,7 +488,7 @@
 #[test]
 fn an_isolated_gateway_counts_a_few_attempts_in_flight_as_congestion() {
     // With all messages lost, three attempts in flight at each of 120 gateways amount to 15 for each server.
-    let mut harness = Harness::just_started(one_of(0, 120), 24);
+    let mut harness = Harness::just_started(member_settings(0, 120), 24);
     harness.serve_for(2.0, 10_000.0);
     let in_flight: Vec<_> = (0..4)
         .map(|n| request(&mut harness, n, 0, 100 + u64::from(n), 1))
@@ -523,7 +523,7 @@
 
 #[test]
 fn malformed_messages_in_a_large_group_change_nothing() {
-    let mut harness = Harness::just_started(one_of(0, 120), 12);
+    let mut harness = Harness::just_started(member_settings(0, 120), 12);
     for (plan, size, first) in [(99, 10, 0), (0, u32::MAX >> 2, 500), (1, 0, 7)] {
         let mut writer = gossip::MessageBuilder::new(5, f64::MAX, f64::MAX);
         writer.push(gossip::Entry::Count {
@@ -560,7 +560,7 @@
 /// The advice of an owner of customer 5 after these counts, each of cumulative units and units requested since the
 /// previous one.
 fn advice_after(counts: &[(f64, f64)]) -> Vec<gossip::Entry> {
-    let mut harness = Harness::just_started(one_of(owners()[0], 120), 12);
+    let mut harness = Harness::just_started(member_settings(owners()[0], 120), 12);
     let incarnation = harness.now as u32;
     harness.advance(3_000.0);
     harness.handle(Event::PeerMessage {
@@ -611,7 +611,7 @@
     let member = (0..100)
         .find(|number| !owners.contains(number))
         .expect("most own no quota");
-    let mut harness = Harness::just_started(one_of(member, 120), 12);
+    let mut harness = Harness::just_started(member_settings(member, 120), 12);
     let mut sent = Vec::new();
     for number in 0..3 {
         let (id, actions) = request(&mut harness, number, 0, 5, 100);
@@ -636,7 +636,7 @@
 
 #[test]
 fn the_mean_latency_target_is_known_after_a_few_answers() {
-    let mut settings = one_of(0, 120);
+    let mut settings = member_settings(0, 120);
     settings.classes[1].latency_target = 5_000.0;
     let mut harness = Harness::just_started(settings, 24);
     // Three answers per second of the class whose latency target is ten times that of the first class.
@@ -662,6 +662,6 @@
     assert_eq!(
         rejections.count(),
         0,
-        "three in flight, where three a second may take a third of 5 s each"
+        "only three in flight: three per second that take a third of 5 s each would be five"
     );
 }
--- a/crates/emberpin-balancer/tests/recorded.rs
+++ b/crates/emberpin-balancer/tests/recorded.rs
@@ -11,7 +11,7 @@
 use emberpin_balancer::*;
 use recording::{assert_recorded, hex, recorded_lines, Recorded};
 
-const WITH_RATE_LIMIT: usize = 1;
+const RATE_LIMITED_PLAN: usize = 1;
 const CUSTOMER: u64 = 5;
 
 fn count(customer: u64) -> Entry {
@@ -160,7 +160,7 @@
 /// A gateway with two customers that have used up their quotas, and one server in maintenance.
 fn used_gateway() -> Harness {
     let mut harness = Harness::new(settings(), 3);
-    assert!(use_up_quota(&mut harness, 0) > 0 && use_up_quota(&mut harness, WITH_RATE_LIMIT) > 0);
+    assert!(use_up_quota(&mut harness, 0) > 0 && use_up_quota(&mut harness, RATE_LIMITED_PLAN) > 0);
     harness.handle(Event::Maintenance {
         server: ServerId(2),
         out_of_service: true,
@@ -214,7 +214,7 @@
     );
     assert_eq!(use_up_quota(&mut next, 0), 0, "a used quota stays used");
     assert_eq!(
-        use_up_quota(&mut next, WITH_RATE_LIMIT),
+        use_up_quota(&mut next, RATE_LIMITED_PLAN),
         0,
         "a used rate limit stays used"
     );
--- a/crates/emberpin-balancer/tests/slow_start.rs
+++ b/crates/emberpin-balancer/tests/slow_start.rs
@@ -127,9 +127,9 @@
         harness.now += 30.0;
         harness.end_attempt(id, 0, to, Outcome::Ok);
     }
-    // Four servers have at least a quarter of their capacity, and half of twice that may be sent: more than 4 x
-    // 0.25 x 1000 / 125 per second from the first answer on, shared by three gateways. The upper bound is a third
-    // of a third of all that 30 ms per request would allow.
+    // Four cold servers have at least a quarter of their capacity. Twice that overloads them, and half of that load may
+    // be sent: more than 4 x 0.25 x 1000 / 125 per second from the first answer on, shared by three gateways. The upper
+    // bound is a third of a third of all that 30 ms per request would allow.
     assert!((13..150).contains(&admitted), "{admitted} in 5 s");
 }
 
--- a/crates/emberpin-bench/src/door.rs
+++ b/crates/emberpin-bench/src/door.rs
@@ -66,12 +66,12 @@
     silent: u32,
 ) -> Result<Measured, String> {
     let (servers, discovery) = standins::start(SERVERS)?;
-    let free = || {
+    let free_address = || {
         let bound =
             TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|listener| listener.local_addr());
         bound.map_err(|e| format!("no port: {e}"))
     };
-    let (address, operator_address) = (free()?, free()?);
+    let (address, operator_address) = (free_address()?, free_address()?);
     let file = folder.join("config.json");
     let mut config = settings::file(address, discovery, &servers);
     config["ops"] = serde_json::json!(operator_address);
--- a/crates/emberpin-bench/src/instructions.rs
+++ b/crates/emberpin-bench/src/instructions.rs
@@ -1,7 +1,8 @@
 //! Counts instructions per request with callgrind. For the same binary the count does not depend on the machine's other
-//! load. The cost of start and exit is removed by the difference of two runs with different numbers of requests.
+//! load. The cost of start and exit is removed: the instructions of a run are subtracted from those of a run with
+//! twice as many requests.
 
-use crate::{settings, AS_ENTRY};
+use crate::{settings, AS_IN_PROCESS_LIMITER};
 use bytes::Bytes;
 use emberpin_limiter::operate::request_path::RequestPath;
 use http_body_util::Full;
@@ -19,15 +20,15 @@
 /// # Errors
 ///
 /// The environment or the settings cannot be read, or a request was not served.
-pub fn entry() -> Result<(), String> {
+pub fn run_in_process() -> Result<(), String> {
     let requests =
         std::env::var(REQUESTS_VARIABLE).map_err(|e| format!("{REQUESTS_VARIABLE}: {e}"))?;
     let requests: u64 = requests
         .parse()
         .map_err(|e| format!("{REQUESTS_VARIABLE}: {e}"))?;
-    let mut entry = RequestPath::from_env()?;
+    let mut limiter = RequestPath::from_env()?;
     for number in 0..requests {
-        let status = entry.exchange(request(number)?);
+        let status = limiter.exchange(request(number)?);
         if status != StatusCode::OK {
             return Err(format!("request {number} was answered {status}"));
         }
@@ -75,10 +76,14 @@
     let counted = written
         .map_err(|e| format!("{}: {e}", file.display()))
         .and_then(|()| {
-            let per_run = || {
+            // The instructions of the longer run's additional requests.
+            let extra_instructions = || {
                 Ok::<_, String>(instructions(&file, 2 * requests)? - instructions(&file, requests)?)
             };
-            Ok((per_run()? / requests as f64, per_run()? / requests as f64))
+            Ok((
+                extra_instructions()? / requests as f64,
+                extra_instructions()? / requests as f64,
+            ))
         });
     _ = std::fs::remove_dir_all(&folder);
     let (first, second) = counted?;
@@ -95,7 +100,7 @@
     let run = Command::new("valgrind")
         .args(["--tool=callgrind", "--callgrind-out-file=/dev/null"])
         .arg(program)
-        .arg(AS_ENTRY)
+        .arg(AS_IN_PROCESS_LIMITER)
         .env("GW_CONFIG", file)
         .env(REQUESTS_VARIABLE, requests.to_string())
         .stdin(Stdio::null())
--- a/crates/emberpin-bench/src/keys.rs
+++ b/crates/emberpin-bench/src/keys.rs
@@ -105,9 +105,9 @@
         ));
     };
     let mut served_actions = Vec::new();
-    for (number, name) in customer_keys.iter().enumerate() {
+    for (number, customer_key) in customer_keys.iter().enumerate() {
         let ticket = Ticket(number as u64);
-        arrive(&mut table, ticket, name);
+        arrive(&mut table, ticket, customer_key);
         served_actions.clear();
         table.handle(
             0.0,
@@ -118,11 +118,11 @@
             &mut served_actions,
         );
     }
-    for (number, name) in customer_keys.iter().enumerate() {
+    for (number, customer_key) in customer_keys.iter().enumerate() {
         arrive(
             &mut table,
             Ticket((customer_keys.len() + number) as u64),
-            name,
+            customer_key,
         );
     }
     // Every repeat must have been a replay: otherwise other operations would have been measured.
@@ -138,12 +138,12 @@
         .build();
     let answer = Bytes::copy_from_slice(body);
     let mut found = 0;
-    for name in customer_keys {
-        found += u64::from(cache.get(name).is_some());
-        cache.insert(name.clone(), answer.clone());
+    for customer_key in customer_keys {
+        found += u64::from(cache.get(customer_key).is_some());
+        cache.insert(customer_key.clone(), answer.clone());
     }
-    for name in customer_keys {
-        found += u64::from(cache.get(name).is_some());
+    for customer_key in customer_keys {
+        found += u64::from(cache.get(customer_key).is_some());
     }
     assert!(found <= customer_keys.len() as u64);
     3 * customer_keys.len() as u64
--- a/crates/emberpin-bench/src/main.rs
+++ b/crates/emberpin-bench/src/main.rs
@@ -25,7 +25,7 @@
 /// The first argument with which this program runs as the stack of tower layers.
 pub const AS_STACK: &str = "stack";
 /// The first argument with which this program sends requests through the limiter in-process, without sockets.
-pub const AS_ENTRY: &str = "entry";
+pub const AS_IN_PROCESS_LIMITER: &str = "entry";
 
 /// Measure the cost of a request at the limiter, compared with a bare reverse proxy and a stack of tower layers.
 #[derive(Parser)]
@@ -116,7 +116,7 @@
         AS_LIMITER => return emberpin_limiter::operate::command::main(std::env::args_os().skip(1)),
         AS_BARE => bare::run(),
         AS_STACK => stack::run(),
-        AS_ENTRY => instructions::entry(),
+        AS_IN_PROCESS_LIMITER => instructions::run_in_process(),
         _ => {
             let cli = Cli::parse();
             match cli.command {
--- a/crates/emberpin-bench/src/standins.rs
+++ b/crates/emberpin-bench/src/standins.rs
@@ -72,7 +72,7 @@
         let discovery = bind().await?;
         let sent = sender.send((all, address_of(&discovery)?));
         sent.map_err(|e| format!("the addresses were not received: {e}"))?;
-        accept(discovery, watch).await;
+        accept(discovery, serve_heartbeats).await;
         Ok(())
     });
     addresses
@@ -100,7 +100,8 @@
     }
 }
 
-async fn watch(mut wire: Wire) {
+/// Answers a subscription to the discovery service with heartbeats only.
+async fn serve_heartbeats(mut wire: Wire) {
     if wire.read(false).await.is_err() {
         return;
     }
--- a/crates/emberpin-peering/src/peering.rs
+++ b/crates/emberpin-peering/src/peering.rs
@@ -1,6 +1,6 @@
 //! The state machine: the connections between this instance and its peers.
 //!
-//! Each instance opens one connection to each peer, and sends on that connection only; the accepting side merely replies
+//! Each instance opens one connection to each peer, and sends on that connection only; the accepting side only replies,
 //! with acknowledgements. Two instances that connect to each other at the same time need no tie-break, and a one-way
 //! partition shows at both ends: one receives no heartbeats, the other no acknowledgements.
 
--- a/crates/emberpin-proxy/src/controller/configuration.rs
+++ b/crates/emberpin-proxy/src/controller/configuration.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeSet, HashMap};
 
 impl Controller {
-    /// Applies the merged configuration. Routes are replaced first, so that requests in flight are updated, and classes
-    /// are freed, according to the new ones.
+    /// Applies the merged configuration. Routes are replaced first, as the updates of requests in flight and the freeing
+    /// of traffic classes depend on the new ones.
     pub(super) fn apply_configuration(&mut self) {
         let routes: Vec<Route> = effective_routes(&self.configuration);
         self.retain_split_draws(&routes);
@@ -51,20 +51,20 @@
     }
 
     fn apply_evacuations(&mut self, zones: BTreeSet<String>) {
-        let any_returned = self
+        let any_evacuation_ended = self
             .evacuated_zones
             .iter()
             .any(|zone| !zones.contains(zone));
         self.evacuated_zones.clone_from(&zones);
         self.router.endpoints.set_evacuated_zones(self.now(), zones);
         self.apply_endpoint_changes();
-        if any_returned {
-            self.refresh_returned_instances();
+        if any_evacuation_ended {
+            self.refresh_after_evacuation();
         }
     }
 
-    /// Frees services and traffic classes that neither the configuration nor a request in flight refers to. Without it,
-    /// every change of a route's time limits would leave a class behind.
+    /// Frees services and traffic classes that neither the configuration nor a request in flight refers to. Otherwise,
+    /// every change of a route's time limits would leave an unused class behind.
     fn free_unused(&mut self, listed_services: &HashMap<String, WarmupProfile>) {
         let mut routes: HashMap<&str, Vec<&Route>> = HashMap::new();
         for route in self.router.routes.iter() {
--- a/crates/emberpin-proxy/src/controller/mod.rs
+++ b/crates/emberpin-proxy/src/controller/mod.rs
@@ -1,8 +1,8 @@
 //! The single owner of routes, servers, retry budgets and in-flight requests: an event loop over a queue of commands.
 //!
 //! One decision module ([`Service`]) per service chooses the server of each attempt; the controller decides which
-//! service a request is for and whether its route and the retry budget allow another attempt. All state is changed by
-//! one task, so no event observes another one half applied.
+//! service a request is for and whether its route and the retry budget allow another attempt. One task changes all
+//! state and handles one event at a time, so no event sees the partial effects of another.
 
 mod attempts;
 mod configuration;
--- a/crates/emberpin-proxy/src/controller/slow_start.rs
+++ b/crates/emberpin-proxy/src/controller/slow_start.rs
@@ -12,9 +12,9 @@
         }
     }
 
-    /// Checks all instances that are warming up now, including those that were not before: the servers of a zone have
-    /// to warm up again when its evacuation ends.
-    pub(super) fn refresh_returned_instances(&mut self) {
+    /// Checks all instances that are warming up now, including those that were warm before: the servers of a zone have to
+    /// warm up again when its evacuation ends.
+    pub(super) fn refresh_after_evacuation(&mut self) {
         let now = self.now();
         let instances: Vec<String> = self
             .router
--- a/crates/emberpin-proxy/src/registry_sessions/mod.rs
+++ b/crates/emberpin-proxy/src/registry_sessions/mod.rs
@@ -18,8 +18,8 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Number of concurrent sessions. With two, one registry may be in a minority of the core, or fail, and changes still
-/// arrive in time.
+/// Number of concurrent sessions. With two, changes still arrive in time if one registry fails, or is cut off from the
+/// majority of the stores and registries.
 const SESSION_COUNT: usize = 2;
 /// A session that lasted for longer than this many lease durations resets the backoff before the next one.
 const STABLE_SESSION_LEASES: u32 = 2;
--- a/crates/emberpin-proxy/src/registry_sessions/session.rs
+++ b/crates/emberpin-proxy/src/registry_sessions/session.rs
@@ -22,8 +22,8 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
 
-/// A connection ends once bytes sent to the registry have gone unacknowledged for this long. Without it, a registry that
-/// vanished would be noticed only when the lease expires.
+/// A connection ends once bytes sent to the registry have gone unacknowledged for this long. Without this limit, the
+/// loss of a registry would be noticed only when the lease expires.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Why a session ended, or was not established.
@@ -35,7 +35,7 @@
     ConnectTimeout(Duration),
     #[error(transparent)]
     Protocol(#[from] ConnectionError),
-    /// The registry is in a minority of the core, or too slow.
+    /// The registry is cut off from the majority of the stores and registries, or is too slow.
     #[error(
         "the lease expired: the registry has not confirmed recently that its state is current"
     )]
--- a/crates/emberpin-proxy/src/shutdown.rs
+++ b/crates/emberpin-proxy/src/shutdown.rs
@@ -50,7 +50,7 @@
 
 /// Drains: withdraws readiness, keeps accepting connections while the platform may still direct some here, then closes
 /// the listener and waits for the open connections until the grace period is nearly over. A request that arrives in the
-/// second half of it, on a connection that was kept open for a request, is rejected.
+/// second half of the grace period, on a connection that is still open, is rejected.
 pub async fn drain(published: &PublishedState, client_listener: &ClientListener, grace: Duration) {
     let started = Instant::now();
     published.start_draining();
--- a/crates/emberpin-routing/src/retry_budget.rs
+++ b/crates/emberpin-routing/src/retry_budget.rs
@@ -98,7 +98,8 @@
             ring.iter()
                 .filter(move |slot| slot.number + slots > current)
         };
-        // A conservative count: in the slot that only partly overlaps with the window, retries count, requests do not.
+        // A conservative count: of the slot that only partly overlaps with the window, retries are counted and requests are
+        // not.
         let requests: u64 = latest_slots(SLOTS_PER_WINDOW)
             .map(|slot| u64::from(slot.requests))
             .sum();
@@ -111,7 +112,8 @@
 
     /// This proxy's part of the extra: the retries that are allowed regardless of the number of requests.
     fn extra_retries(&self, current_slot: u64, proxy_count: u32) -> f64 {
-        // Until then, the previous process of this proxy may have used its part in the same window.
+        // While this process is younger than a window, the previous process of this proxy may have used its part in the
+        // same window.
         let is_window_old = current_slot > self.first_slot + SLOTS_PER_WINDOW;
         if !is_window_old {
             return 0.0;
--- a/crates/emberpin-runtime/src/frames.rs
+++ b/crates/emberpin-runtime/src/frames.rs
@@ -13,16 +13,17 @@
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// The most bytes of a frame after its head, as this build writes frames. Longer frames are still read, as earlier
-/// builds write each message as one frame.
+/// The maximum length in bytes, without the head, of the frames that this build writes. Longer frames are still read,
+/// as earlier builds write each message as one frame.
 pub const MAX_FRAME_BYTES: usize = 256 << 10;
-/// The most bytes of a message; a longer one ends the connection. This bounds the memory that one connection uses.
+/// The maximum length of a message in bytes; a longer one ends the connection. This bounds the memory that one
+/// connection uses.
 pub const MAX_MESSAGE_BYTES: usize = 8 << 20;
 /// The length of a frame's head, in bytes.
 const HEAD_BYTES: usize = 4;
 /// The bit of the head that is set if the message continues in the next frame.
 const CONTINUATION_FLAG: u32 = 1 << 31;
-/// The most bytes that are reserved at once for a message before its bytes are received.
+/// The maximum number of bytes that are reserved at once for a message before its bytes are received.
 const MAX_RESERVED_BYTES: usize = 64 << 10;
 
 /// Why a connection between processes ended.
--- a/crates/emberpin-runtime/src/logs.rs
+++ b/crates/emberpin-runtime/src/logs.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::io::{self, Write};
 
-/// The most bytes of buffered log lines. Beyond this the oldest lines are dropped.
+/// The maximum total size of the buffered log lines, in bytes. Beyond this the oldest lines are dropped.
 const MAX_BUFFERED_BYTES: usize = 32 << 10;
 /// The text by which `simplelog` marks the lines of errors.
 const ERROR_MARK: &[u8] = b"[ERROR]";
--- a/crates/emberpin-runtime/src/metrics.rs
+++ b/crates/emberpin-runtime/src/metrics.rs
@@ -39,7 +39,7 @@
 const LATENCY_BUCKETS: [f64; 12] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0,
 ];
-/// The most connections served at a time; others wait in the listener's queue.
+/// The maximum number of connections served at a time; others wait in the listener's queue.
 const MAX_CONNECTIONS: usize = 2;
 /// The time limit of a connection.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/emberpin-runtime/src/settings/mod.rs
+++ b/crates/emberpin-runtime/src/settings/mod.rs
@@ -42,10 +42,10 @@
     pub bootstrap: bool,
     /// The folder for a store's files (`self.datadir`; default: none). No store starts without it.
     pub data_dir: Option<PathBuf>,
-    /// The most open file descriptors of the process (`self.limits.nofile`). A proxy derives from it how many
+    /// The maximum number of open file descriptors of the process (`self.limits.nofile`). A proxy derives from it how many
     /// connections it accepts from clients and opens to servers.
     pub max_open_files: usize,
-    /// The most memory of the process, in MiB (`self.limits.mem_mb`). A proxy derives from it how many long bodies it
+    /// The memory limit of the process, in MiB (`self.limits.mem_mb`). A proxy derives from it how many long bodies it
     /// forwards at once.
     pub memory_mib: u64,
     /// The size of the disk, in MiB (`self.limits.disk_mb`; default: 0, which means unknown). A store rejects changes
@@ -65,8 +65,8 @@
     /// `network.max_protocol_version` (default: its newest). While an operator lowers it during an upgrade,
     /// processes of the new build use the same protocol version as those of the old build.
     pub protocol_versions: VersionRange,
-    /// The `ctl` addresses of some core machines (`network.seeds`), by which a process finds all others. Only their IP
-    /// addresses are used.
+    /// The `ctl` addresses of some machines that run a registry (`network.seeds`), by which a process finds all others.
+    /// Only their IP addresses are used.
     pub seeds: Vec<SocketAddr>,
     /// The region of each zone (`network.zones`; default: none). Only zones listed here can be evacuated.
     pub zone_regions: BTreeMap<String, String>,
@@ -119,10 +119,10 @@
     pub retry_window: Duration,
     /// The number of retries that the budget allows in a window in addition to `retry_ratio` (`retry_extra`).
     pub retry_allowance: f64,
-    /// The most requests a second to an instance in slow start, as a multiple of its service's `warmup_per_s`, without
-    /// `slow_start_allowance` (`warm_excess`).
+    /// The maximum request rate to an instance in slow start, as a multiple of its service's `warmup_per_s`, before
+    /// `slow_start_allowance` is added (`warm_excess`).
     pub slow_start_factor: f64,
-    /// The requests a second that an instance in slow start may receive beyond `slow_start_factor` (`warm_extra`).
+    /// The requests per second that an instance in slow start may receive beyond that multiple (`warm_extra`).
     pub slow_start_allowance: f64,
 }
 
--- a/crates/emberpin-runtime/tests/settings.rs
+++ b/crates/emberpin-runtime/tests/settings.rs
@@ -46,7 +46,7 @@
 }
 
 #[gtest]
-fn the_newest_protocol_version_can_be_lowered_to_that_of_the_build_before() {
+fn the_newest_protocol_version_can_be_lowered_to_an_older_supported_one() {
     let read = |line: &str| {
         let file = settings_file("").replace("[network]\n", &format!("[network]\n{line}\n"));
         Settings::parse(&file, "f").map(|settings| settings.protocol_versions.newest)
--- a/crates/emberpin-startup/src/call_schedule.rs
+++ b/crates/emberpin-startup/src/call_schedule.rs
@@ -1,19 +1,20 @@
 //! When to call the discovery service: the first call of a process in a slot of its own, later ones by exponential
 //! backoff with full jitter over a window that grows with the group.
 //!
-//! The schedule keeps a group from overloading the service that all its limiters depend on. A call that waits too long
-//! for its answer fails, but has cost the service as much work as an answered call. When hundreds of limiters start at
-//! once, or many watches break at once, they must not all call at the same moment, nor retry together after equal
-//! delays: an overloaded service would answer none of them as long as the rate of calls stays the same.
+//! The schedule keeps a group from overloading the discovery service, on which all its limiters depend. A call that
+//! waits too long for its answer fails, but has cost the discovery service as much work as an answered call. When
+//! hundreds of limiters start at once, or many watches break at once, they must not all call at the same moment, nor
+//! retry together after equal delays: an overloaded discovery service would answer none of them as long as the rate of
+//! calls stays the same.
 
 use crate::slots::slot_of;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The rate at which the service is assumed to answer calls where no rate is configured. A group too large to be
-/// served within [`MAX_DEFAULT_STAGGER`] at this rate is assumed to have a faster service.
+/// The rate at which the discovery service is assumed to answer calls where no rate is configured. If a group is too
+/// large to be served within [`MAX_DEFAULT_STAGGER`] at this rate, its discovery service is assumed to be faster.
 const DEFAULT_CALLS_PER_SECOND: f64 = 10.0;
-/// The longest time that first calls are spread over where the service's rate is not configured.
+/// The longest time that first calls are spread over where the discovery service's rate is not configured.
 const MAX_DEFAULT_STAGGER: Duration = Duration::from_secs(4);
 /// The longest time that first calls are spread over, whatever rate is configured.
 const MAX_STAGGER: Duration = Duration::from_secs(60);
@@ -28,24 +29,27 @@
 const MAX_DOUBLINGS: u32 = 2;
 /// The lower bound of the limit that the window may grow to, which takes effect in small groups.
 const MIN_WINDOW_LIMIT: Duration = Duration::from_millis(1_000);
-/// The shortest window after a call that failed slowly, as a multiple of the call's duration: a service that takes long
-/// to fail a call takes long to answer one, and with shorter delays calls would overlap at the service.
+/// The shortest window after a call that failed slowly, as a multiple of the call's duration: a discovery service that
+/// takes long to fail a call also takes long to answer one, and after shorter delays it would get further calls while
+/// it still processes earlier ones.
 const SLOW_FAILURE_WINDOW: u32 = 2;
 /// The limit that the window may grow to after calls that failed slowly, as a multiple of the last call's duration.
-/// Without it, a few limiters overload a service whose every call takes longer than their usual delays.
+/// Without it, a few limiters overload a discovery service whose every call takes longer than their usual delays.
 const SLOW_FAILURE_WINDOW_LIMIT: u32 = 4;
-/// A call that failed within this time did not reach the service, and cost it nothing.
+/// A call that failed within this time did not reach the discovery service, and cost it nothing.
 const FAST_FAILURE: Duration = Duration::from_millis(100);
-/// The longest window after a failure, and the longest delay that a service's `Retry-After` is obeyed for.
+/// The longest window after a failure, and the upper bound of the delay that a `Retry-After` of the discovery service
+/// can ask for.
 const MAX_BACKOFF: Duration = Duration::from_secs(60);
 
 /// The longest window after a watch broke, where the age of the list is bounded: changes must be applied within 6 s
 /// after a watch stopped delivering, which is detected after 4.5 s.
 const MAX_BOUNDED_WINDOW: Duration = Duration::from_millis(1_200);
-/// A call that failed after at least this time hung at a service that does not answer, and cost it nothing.
+/// A call that failed after at least this time counts as hung: the discovery service answers no calls at all, so that
+/// this one cost it nothing.
 const HANG_THRESHOLD: Duration = Duration::from_millis(4_000);
 /// How many consecutive hung calls are retried at once where the age of the list is bounded, so that a call is
-/// pending when the service answers again.
+/// pending when the discovery service answers again.
 const MAX_IMMEDIATE_RETRIES: u32 = 2;
 /// The window of the retry after a hung call.
 const IMMEDIATE_RETRY_WINDOW: Duration = Duration::from_millis(200);
@@ -72,9 +76,9 @@
         /// The time from the call to its failure.
         after: Duration,
     },
-    /// The service asked for a later call: 503 with `Retry-After` (RFC 9110, section 10.2.3).
+    /// The discovery service asked for a later call: 503 with `Retry-After` (RFC 9110, section 10.2.3).
     RetryAfter {
-        /// The delay that the service asked for.
+        /// The delay that the discovery service asked for.
         delay: Duration,
     },
 }
@@ -92,13 +96,13 @@
 #[derive(Clone, Debug)]
 pub struct CallSchedule {
     position: GroupPosition,
-    /// The time in which the service can answer a call of each member.
+    /// The time in which the discovery service can answer a call of each member.
     stagger: Duration,
     /// When the first call is due, since the start, if the whole group starts together.
     slot: Duration,
-    /// The shortest window after a call that reached no service, where the service's rate is configured. The mean delay
-    /// is half the window, so a group whose windows are twice the stagger calls no more often than the service
-    /// can answer, at whatever moment the service recovers.
+    /// The shortest window after a call that did not reach the discovery service, where its rate is configured. The mean
+    /// delay is half the window, so a group whose windows are twice the stagger calls no more often than the discovery
+    /// service can answer, at whatever moment it recovers.
     recovery_window: Duration,
     /// The peers that sent a message before the first call, by member number.
     peers: BTreeMap<u32, PeerStart>,
@@ -122,7 +126,7 @@
     }
 
     /// A schedule for a process that starts now and whose first call may be delayed. `calls_per_second` is how many
-    /// calls per second the service answers, where the operator has configured it; `random` is a random number
+    /// calls per second the discovery service answers, where the operator has configured it; `random` is a random number
     /// from 0 to 1 (exclusive).
     pub fn staggered(
         position: GroupPosition,
@@ -247,7 +251,7 @@
 /// times alone calls could coincide; the random part separates members that share a slot because the configured size is
 /// wrong.
 fn slot_start(number: u32, size: u32, stagger: Duration, random: f64) -> Duration {
-    // A lone limiter shares the service with no other member.
+    // A lone limiter shares the discovery service with no other member.
     if size == 1 {
         return Duration::ZERO;
     }
--- a/crates/emberpin-startup/src/list_dissemination.rs
+++ b/crates/emberpin-startup/src/list_dissemination.rs
@@ -101,7 +101,7 @@
     /// The sequence number of its last heartbeat.
     sequence: u64,
     last_heartbeat_at: Option<Duration>,
-    /// When too few watchers began to be known; `None` while there are enough.
+    /// Since when this limiter has known of too few watchers; `None` while it knows of enough.
     lacking_since: Option<Duration>,
     pending_request: Option<PendingRequest>,
 }
--- a/crates/emberpin-startup/src/list_guard.rs
+++ b/crates/emberpin-startup/src/list_guard.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListSummary {
     /// Which discovery service the list comes from: a counter incremented each time the limiter is configured with
-    /// another service. Revisions of different services are not comparable.
+    /// another discovery service. Revisions of different discovery services are not comparable.
     pub service_generation: u32,
     /// The discovery service's revision of the list.
     pub revision: u64,
--- a/crates/emberpin-startup/tests/call_schedule.rs
+++ b/crates/emberpin-startup/tests/call_schedule.rs
@@ -149,7 +149,7 @@
         let mut schedule = CallSchedule::immediate(GroupPosition { number: 0, size });
         let delay = schedule.next_delay(CallOutcome::Delivered, 0.999);
         assert!(silence + delay < Duration::from_millis(5_800), "{size}");
-        // When a service that was silent for 8 s answers again, a call of each limiter is pending.
+        // When a discovery service that was silent for 8 s answers again, a call of each limiter is pending.
         for _ in 0..2 {
             let delay = schedule.next_delay(hung, 0.999);
             assert!(delay <= Duration::from_millis(200), "{size}");
--- a/crates/emberpin-startup/tests/call_schedule_groups.rs
+++ b/crates/emberpin-startup/tests/call_schedule_groups.rs
@@ -8,12 +8,12 @@
 use emberpin_startup::call_schedule::{CallOutcome, CallSchedule, GroupPosition};
 use std::time::Duration;
 
-/// How long a call waits for the service before it fails, in seconds.
+/// How long a call waits for the discovery service before it fails, in seconds.
 const CALL_TIMEOUT: f64 = 2.0;
 /// The steps of virtual time, in seconds.
 const STEP: f64 = 0.005;
 
-/// A service that shares its capacity among all calls that are pending.
+/// A discovery service that shares its capacity among all calls that are pending.
 struct Service {
     calls_per_second: f64,
     /// Until when calls fail at once, in seconds.
@@ -32,7 +32,7 @@
 struct PendingCall {
     limiter: usize,
     started_at: f64,
-    /// The share of the service's work on this call that is left.
+    /// The share of the discovery service's work on this call that is left.
     work_left: f64,
 }
 
@@ -111,7 +111,7 @@
     size: u32,
     /// The size that the limiters' settings name.
     configured_size: u32,
-    /// The rate of the service that the settings name.
+    /// The rate of the discovery service that the settings name.
     service_rate: Option<f64>,
 }
 
@@ -257,7 +257,7 @@
     }
 }
 
-/// Checks the simulation itself: the service can be overloaded, as exponential backoff without jitter does.
+/// Checks the simulation itself: exponential backoff without jitter overloads the discovery service.
 #[test]
 fn with_equal_delays_at_all_limiters_no_limiter_of_a_large_group_is_answered() {
     let mut failures = [0; 100];
@@ -270,9 +270,9 @@
     assert!(observed.answered_at.is_empty());
 }
 
-/// Guards against first windows that are shorter than the time the service needs to answer each member: limiters that
-/// had called just before the recovery called again at once, and their calls overloaded the recovered service and
-/// failed.
+/// Guards against first windows that are shorter than the time that the discovery service needs to answer all members:
+/// limiters that had called just before the recovery called again at once, and their calls overloaded the recovered
+/// discovery service and failed.
 #[test]
 fn a_service_that_recovers_while_first_calls_still_come_is_not_overloaded() {
     for (size, outage) in [(24, 2.0), (24, 5.0), (100, 5.0), (300, 5.0)] {
--- a/crates/emberpin-startup/tests/simulated_group/mod.rs
+++ b/crates/emberpin-startup/tests/simulated_group/mod.rs
@@ -1,5 +1,5 @@
 //! A group of limiters in virtual time that spread the list of one discovery service, with faults: killed or
-//! stalled processes, partitions in one direction or both, and an outage of the service.
+//! stalled processes, partitions in one direction or both, and an outage of the discovery service.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use emberpin_startup::call_schedule::{CallSchedule, GroupPosition};
@@ -20,7 +20,7 @@
 /// The steps of virtual time, in milliseconds, like all times here.
 pub const STEP: u64 = 10;
 const TICK_INTERVAL: u64 = 200;
-/// The time from a call until the service answers it.
+/// The time from a call until the discovery service answers it.
 const ANSWER_TIME: u64 = 50;
 /// The entries of every simulated list.
 const ENTRIES: [u8; 3] = [7; 3];
@@ -42,7 +42,8 @@
     Both,
 }
 
-/// A fault of some limiters, given by their member numbers, or of the service, during a range of time.
+/// A fault of some limiters, given by their member numbers, or of the discovery service, during a range
+/// of time.
 #[derive(Clone, Debug)]
 pub enum Fault {
     /// The processes are killed, and new ones start at the end of the range.
@@ -57,7 +58,7 @@
     dissemination: ListDissemination,
     started_at: u64,
     slot: Duration,
-    /// When the service answers the call that is pending.
+    /// When the discovery service answers the call that is pending.
     answer_at: Option<u64>,
     watching: bool,
     /// The earliest time of the next call, after one that failed.
@@ -67,7 +68,7 @@
 }
 
 pub struct SimulatedGroup {
-    /// The revision of the service's list.
+    /// The revision of the discovery service's list.
     pub revision: u64,
     pub faults: Vec<Fault>,
     /// When each call was made, and by which limiter.
