--- a/crates/emberpin-proxy/src/controller/configuration.rs
+++ b/crates/emberpin-proxy/src/controller/configuration.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeSet, HashMap};
 
 impl Controller {
-    /// Applies the merged configuration. Routes are replaced first, as the updates of requests in flight and the freeing
-    /// of traffic classes depend on the new ones.
+    /// Applies the merged configuration. Routes are replaced first, as the updates of requests in flight and the
+    /// freeing of traffic classes depend on the new ones.
     pub(super) fn apply_configuration(&mut self) {
         let routes: Vec<Route> = effective_routes(&self.configuration);
         self.retain_split_draws(&routes);
--- a/crates/emberpin-proxy/src/controller/slow_start.rs
+++ b/crates/emberpin-proxy/src/controller/slow_start.rs
@@ -12,8 +12,8 @@
         }
     }
 
-    /// Checks all instances that are warming up now, including those that were warm before: the servers of a zone have to
-    /// warm up again when its evacuation ends.
+    /// Checks all instances that are warming up now, including those that were warm before: the servers of a zone have
+    /// to warm up again when its evacuation ends.
     pub(super) fn refresh_after_evacuation(&mut self) {
         let now = self.now();
         let instances: Vec<String> = self
--- a/crates/emberpin-routing/src/retry_budget.rs
+++ b/crates/emberpin-routing/src/retry_budget.rs
@@ -98,8 +98,8 @@
             ring.iter()
                 .filter(move |slot| slot.number + slots > current)
         };
-        // A conservative count: of the slot that only partly overlaps with the window, retries are counted and requests are
-        // not.
+        // A conservative count: of the slot that only partly overlaps with the window, retries are counted and requests
+        // are not.
         let requests: u64 = latest_slots(SLOTS_PER_WINDOW)
             .map(|slot| u64::from(slot.requests))
             .sum();
--- a/crates/emberpin-runtime/src/settings/mod.rs
+++ b/crates/emberpin-runtime/src/settings/mod.rs
@@ -42,8 +42,8 @@
     pub bootstrap: bool,
     /// The folder for a store's files (`self.datadir`; default: none). No store starts without it.
     pub data_dir: Option<PathBuf>,
-    /// The maximum number of open file descriptors of the process (`self.limits.nofile`). A proxy derives from it how many
-    /// connections it accepts from clients and opens to servers.
+    /// The maximum number of open file descriptors of the process (`self.limits.nofile`). A proxy derives from it
+    /// how many connections it accepts from clients and opens to servers.
     pub max_open_files: usize,
     /// The memory limit of the process, in MiB (`self.limits.mem_mb`). A proxy derives from it how many long bodies it
     /// forwards at once.
--- a/crates/emberpin-startup/src/call_schedule.rs
+++ b/crates/emberpin-startup/src/call_schedule.rs
@@ -100,8 +100,8 @@
     stagger: Duration,
     /// When the first call is due, since the start, if the whole group starts together.
     slot: Duration,
-    /// The shortest window after a call that did not reach the discovery service, where its rate is configured. The mean
-    /// delay is half the window, so a group whose windows are twice the stagger calls no more often than the discovery
+    /// The shortest window after a call that did not reach the discovery service, where its rate is configured. The
+    /// mean delay is half the window, so a group whose windows are twice the stagger calls no more often than the discovery
     /// service can answer, at whatever moment it recovers.
     recovery_window: Duration,
     /// The peers that sent a message before the first call, by member number.
@@ -126,8 +126,8 @@
     }
 
     /// A schedule for a process that starts now and whose first call may be delayed. `calls_per_second` is how many
-    /// calls per second the discovery service answers, where the operator has configured it; `random` is a random number
-    /// from 0 to 1 (exclusive).
+    /// calls per second the discovery service answers, where the operator has configured it; `random` is a random
+    /// number from 0 to 1 (exclusive).
     pub fn staggered(
         position: GroupPosition,
         calls_per_second: Option<f64>,
