--- a/crates/emberpin-balancer/tests/recorded.rs
+++ b/crates/emberpin-balancer/tests/recorded.rs
@@ -173,7 +173,7 @@
     let bytes = |handover: Handover| postcard::to_allocvec(&handover).expect("encoded");
     let just_started = Harness::just_started(settings(), 2).gateway.to_handover();
     vec![
-        ("worn".into(), bytes(harness.gateway.to_handover())),
+        ("used".into(), bytes(harness.gateway.to_handover())),
         ("fresh".into(), bytes(just_started)),
     ]
 }
@@ -189,7 +189,7 @@
 
 #[test]
 fn a_handover_is_read_and_written_as_it_was_recorded() {
-    for name in ["worn", "fresh"] {
+    for name in ["used", "fresh"] {
         let (handover, bytes) = recorded_handover(name);
         assert_eq!(
             hex(&postcard::to_allocvec(&handover).expect("encoded")),
@@ -201,7 +201,7 @@
 
 #[test]
 fn a_gateway_continues_from_the_recorded_handover() {
-    let (handover, bytes) = recorded_handover("worn");
+    let (handover, bytes) = recorded_handover("used");
     let mut next = Harness::just_started(settings(), 3);
     next.now = 1_060_000.0;
     let endpoints = (0..3).map(server).collect();
@@ -219,7 +219,7 @@
         "a used rate limit stays used"
     );
     // A gateway that has admitted nothing since hands over exactly the state that it received.
-    let (handover, _) = recorded_handover("worn");
+    let (handover, _) = recorded_handover("used");
     let (gateway, _) = Gateway::from_handover(
         settings(),
         9,
