--- a/crates/emberpin-balancer/tests/balancing.rs
+++ b/crates/emberpin-balancer/tests/balancing.rs
@@ -65,19 +65,19 @@
 #[test]
 fn a_server_that_answers_large_requests_does_not_count_as_slow() {
     let mut harness = harness_with_latencies_by_units(2);
-    let only = |harness: &mut Harness, id: u32| {
+    let drain_all_but = |harness: &mut Harness, id: u32| {
         let draining = Server {
             status: ServerStatus::Draining,
             ..server(1 - id)
         };
         harness.update_membership(MembershipUpdate::Full(vec![server(id), draining]));
     };
-    only(&mut harness, 0);
+    drain_all_but(&mut harness, 0);
     for _ in 0..40 {
         answer_new_request(&mut harness, 4.0, 300.0);
     }
     // The other server is slow with small requests.
-    only(&mut harness, 1);
+    drain_all_but(&mut harness, 1);
     for _ in 0..6 {
         answer_new_request(&mut harness, 1.0, 40.0);
     }
@@ -114,18 +114,18 @@
 fn a_server_with_a_large_request_in_flight_does_not_count_as_stalled() {
     for (elapsed, expected) in [(500.0, 0), (1_500.0, 1)] {
         let mut harness = harness_with_latencies_by_units(2);
-        let only = |harness: &mut Harness, id: u32| {
+        let drain_all_but = |harness: &mut Harness, id: u32| {
             let draining = Server {
                 status: ServerStatus::Draining,
                 ..server(1 - id)
             };
             harness.update_membership(MembershipUpdate::Full(vec![server(id), draining]));
         };
-        only(&mut harness, 0);
+        drain_all_but(&mut harness, 0);
         harness.arrive_with(SAFE, 0, 1, 4.0, 3);
         harness.now += elapsed;
         // The other server has slightly more work in flight, sent just now.
-        only(&mut harness, 1);
+        drain_all_but(&mut harness, 1);
         harness.arrive_with(SAFE, 0, 2, 4.0, 3);
         for k in 0..4 {
             harness.arrive_with(SAFE, 0, 10 + k, 1.0, 3);
--- a/crates/emberpin-balancer/tests/common/mod.rs
+++ b/crates/emberpin-balancer/tests/common/mod.rs
@@ -132,7 +132,7 @@
         actions
     }
 
-    /// Sends a request of one unit whose customer comes through a set of three gateways.
+    /// Sends a request of one unit whose customer uses a set of three gateways.
     pub fn arrive(&mut self, class: usize, plan: usize, customer: u64) -> (RequestId, Vec<Action>) {
         self.arrive_with(class, plan, customer, 1.0, 3)
     }
--- a/crates/emberpin-balancer/tests/decision_files.rs
+++ b/crates/emberpin-balancer/tests/decision_files.rs
@@ -6,10 +6,10 @@
 use std::fs;
 use std::path::Path;
 
-/// Longest function in lines, so that a decision can be read at once.
+/// Maximum length of a function in lines, so that a decision can be read at once.
 const MAX_FUNCTION_LINES: usize = 100;
 
-/// Longest line in characters. `rustfmt` keeps code shorter, but does not break strings and comments.
+/// Maximum length of a line in characters. `rustfmt` keeps code shorter, but does not break strings and comments.
 const MAX_LINE_WIDTH: usize = 110;
 
 /// The length of the longest function of a file, in lines: from its `fn` to the brace at the same indentation.
--- a/crates/emberpin-bench/src/bare.rs
+++ b/crates/emberpin-bench/src/bare.rs
@@ -25,7 +25,7 @@
 struct Proxy {
     servers: Vec<SocketAddr>,
     idle: Vec<RefCell<Vec<UpstreamConnection>>>,
-    next: Cell<usize>,
+    next_server: Cell<usize>,
 }
 
 struct UpstreamConnection {
@@ -78,7 +78,7 @@
         let proxy = Rc::new(Proxy {
             servers: settings.servers,
             idle,
-            next: Cell::new(0),
+            next_server: Cell::new(0),
         });
         while let Ok((stream, _)) = listener.accept().await {
             _ = stream.set_nodelay(true);
@@ -112,7 +112,10 @@
     async fn forward(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Failure> {
         let (parts, body) = request.into_parts();
         let request = Request::from_parts(parts, Full::new(body.collect().await?.to_bytes()));
-        let index = self.next.replace(self.next.get().wrapping_add(1)) % self.servers.len();
+        let index = self
+            .next_server
+            .replace(self.next_server.get().wrapping_add(1))
+            % self.servers.len();
         let reused = self.idle[index].borrow_mut().pop();
         let mut upstream = match reused {
             Some(upstream) => upstream,
--- a/crates/emberpin-bench/src/door.rs
+++ b/crates/emberpin-bench/src/door.rs
@@ -101,25 +101,25 @@
             drop(silent_connections);
             times
         });
-        let [stats, order, ready] = times?;
+        let [stats, maintenance, ready] = times?;
         measured.push((state, "figures", stats));
-        measured.push((state, "a server down and up", order));
+        measured.push((state, "a server down and up", maintenance));
         measured.push((state, "readiness at the clients' address", ready));
     }
     Ok(measured)
 }
 
 /// Makes each kind of call this number of times, in turn. Returns the response times, in milliseconds, of reading the
-/// figures, of ordering a server down or up, and of the readiness check at the clients' address.
+/// figures, of taking a server out of service or putting it back, and of the readiness check at the clients' address.
 fn all_calls(
     operator_address: SocketAddr,
     clients: SocketAddr,
     calls: u32,
 ) -> Result<[Vec<f64>; 3], String> {
-    let (mut stats, mut order, mut ready) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut stats, mut maintenance, mut ready) = (Vec::new(), Vec::new(), Vec::new());
     for number in 0..calls {
         stats.push(call(operator_address, "GET", "/ops/stats")?);
-        order.push(call(
+        maintenance.push(call(
             operator_address,
             "PUT",
             if number % 2 == 0 {
@@ -130,7 +130,7 @@
         )?);
         ready.push(call(clients, "GET", "/health/ready")?);
     }
-    Ok([stats, order, ready])
+    Ok([stats, maintenance, ready])
 }
 
 /// Makes one call. Returns the time in milliseconds from the start of the connection to the last byte of the response.
--- a/crates/emberpin-bench/src/standins.rs
+++ b/crates/emberpin-bench/src/standins.rs
@@ -128,7 +128,7 @@
 struct Client {
     address: SocketAddr,
     idle: RefCell<Vec<Wire>>,
-    next: Cell<u64>,
+    next_request: Cell<u64>,
     in_flight: Cell<usize>,
     completed: Notify,
     result: RefCell<LoadResult>,
@@ -202,7 +202,7 @@
         Rc::new(Client {
             address,
             idle: RefCell::default(),
-            next: Cell::new(0),
+            next_request: Cell::new(0),
             in_flight: Cell::new(0),
             completed: Notify::new(),
             result: RefCell::default(),
@@ -219,7 +219,7 @@
 
     /// Sends one request, and records its result.
     async fn send_request(&self) {
-        let number = self.next.replace(self.next.get() + 1);
+        let number = self.next_request.replace(self.next_request.get() + 1);
         let answered = self.exchange(number).await;
         let mut result = self.result.borrow_mut();
         match answered {
--- a/crates/emberpin-proxy/src/controller/control_sessions.rs
+++ b/crates/emberpin-proxy/src/controller/control_sessions.rs
@@ -1,4 +1,4 @@
-//! Control sessions: applies the updates that registries send, and decides when they make this proxy ready.
+//! Registry sessions: applies the updates that registries send, and decides when they make this proxy ready.
 
 use super::Controller;
 use crate::command::SessionId;
--- a/crates/emberpin-proxy/src/registry_sessions/mod.rs
+++ b/crates/emberpin-proxy/src/registry_sessions/mod.rs
@@ -18,7 +18,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Number of concurrent sessions. With two, changes still arrive in time if one registry fails, or is cut off from the
+/// Number of concurrent sessions. With two, changes still arrive in time if one registry fails, or is cut off from a
 /// majority of the stores and registries.
 const SESSION_COUNT: usize = 2;
 /// A session that lasted for longer than this many lease durations resets the backoff before the next one.
--- a/crates/emberpin-proxy/src/registry_sessions/session.rs
+++ b/crates/emberpin-proxy/src/registry_sessions/session.rs
@@ -35,7 +35,7 @@
     ConnectTimeout(Duration),
     #[error(transparent)]
     Protocol(#[from] ConnectionError),
-    /// The registry is cut off from the majority of the stores and registries, or is too slow.
+    /// The registry is cut off from a majority of the stores and registries, or is too slow.
     #[error(
         "the lease expired: the registry has not confirmed recently that its state is current"
     )]
--- a/crates/emberpin-proxy/src/service/mod.rs
+++ b/crates/emberpin-proxy/src/service/mod.rs
@@ -150,7 +150,7 @@
         let moved =
             known.is_some_and(|known| known.endpoint.change.address != endpoint.change.address);
         // Closing the connections ends the health check. The endpoint then counts as reachable again; once it is
-        // available, an attempt shows whether it is.
+        // available, an attempt shows whether it is reachable.
         let unreachable = known.is_some_and(|known| known.unreachable) && available && !moved;
         let server = match known {
             Some(known) => known.server,
--- a/crates/emberpin-proxy/src/service/traffic_class.rs
+++ b/crates/emberpin-proxy/src/service/traffic_class.rs
@@ -86,7 +86,7 @@
     }
 
     /// A class to share once the table is full. Its latency target and time-out may differ, but a request that is not
-    /// idempotent must never appear so.
+    /// idempotent must never be treated as one that is.
     fn any_of_same_idempotency(&self, key: &ClassKey) -> Option<ClassId> {
         self.used
             .iter()
--- a/crates/emberpin-proxy/src/wire.rs
+++ b/crates/emberpin-proxy/src/wire.rs
@@ -16,7 +16,7 @@
 pub const WANT_INSTANCE: HeaderName = HeaderName::from_static("want-instance");
 /// Present in a response if the server has not run the request and never will.
 pub const NOT_RUN: HeaderName = HeaderName::from_static("not-run");
-/// Present in a response that the server has produced itself.
+/// Present in a response that the server, and no intermediary, has produced.
 pub const SEAL: HeaderName = HeaderName::from_static("seal");
 /// States in a response how long the server keeps an idle connection open.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
--- a/crates/emberpin-runtime/src/settings/mod.rs
+++ b/crates/emberpin-runtime/src/settings/mod.rs
@@ -92,8 +92,8 @@
 }
 
 /// The bounds that the platform sets (`defs.bounds`). All are required. The timing of the processes is chosen for the
-/// bounds of the known deployments, not derived from these. A registry logs at its start which of them are below the
-/// sum of the delays that they bound.
+/// bounds of the known deployments, not derived from these. A registry logs at its start which bounds are below the
+/// sum of the delays that they limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
     /// How long after an acknowledged drain a server may still get new requests (`drain`). Checked at a registry's
--- a/crates/emberpin-startup/src/call_schedule.rs
+++ b/crates/emberpin-startup/src/call_schedule.rs
@@ -101,8 +101,8 @@
     /// When the first call is due, since the start, if the whole group starts together.
     slot: Duration,
     /// The shortest window after a call that did not reach the discovery service, where its rate is configured. The
-    /// mean delay is half the window, so a group whose windows are twice the stagger calls no more often than the discovery
-    /// service can answer, at whatever moment it recovers.
+    /// mean delay is half the window, so a group whose windows are twice the stagger calls no more often than the
+    /// discovery service can answer, at whatever moment it recovers.
     recovery_window: Duration,
     /// The peers that sent a message before the first call, by member number.
     peers: BTreeMap<u32, PeerStart>,
