--- a/crates/emberpin-proxy/src/controller/limits.rs
+++ b/crates/emberpin-proxy/src/controller/limits.rs
@@ -21,7 +21,8 @@
         head: (head, head + HEAD_TIME_MARGIN * 2),
         first_request: idle,
         idle: Some(idle),
-        // The HTTP library reads no less than `DEFAULT_MAX_HEAD_BYTES`; a lower limit is checked once the head is complete.
+        // The HTTP library reads no less than `DEFAULT_MAX_HEAD_BYTES`; a lower limit is checked once the head is
+        // complete.
         max_head_bytes: max_head_bytes.clamp(DEFAULT_MAX_HEAD_BYTES, MAX_HEAD_BYTES),
     }
 }
--- a/crates/emberpin-proxy/src/wire.rs
+++ b/crates/emberpin-proxy/src/wire.rs
@@ -46,8 +46,8 @@
         headers.get(TRY_ID).cloned()
     }
 
-    /// Rejects late responses to earlier requests on the same connection: those that name another id, and sealed ones that
-    /// name none. A request without an id accepts no response that names one.
+    /// Rejects late responses to earlier requests on the same connection: those that name another id, and sealed ones
+    /// that name none. A request without an id accepts no response that names one.
     fn response_belongs(&self, request_id: Option<&HeaderValue>, headers: &HeaderMap) -> bool {
         match (request_id, headers.get(TRY_ID)) {
             (Some(request_id), Some(echoed)) => request_id == echoed,
@@ -63,7 +63,8 @@
 
     fn outcome(&self, _: Option<&HeaderValue>, response: &Response<()>) -> Outcome {
         let (status, headers) = (response.status(), response.headers());
-        // A response without the server's seal, or recoded on the way, is no success: its bytes are not the server's own.
+        // A response without the server's seal, or recoded on the way, is no success: its bytes are not those that the
+        // server sent.
         let sealed = headers.contains_key(SEAL) && !headers.contains_key(CONTENT_ENCODING);
         match AttemptVerdict::from_response(status.as_u16(), headers.contains_key(NOT_RUN)) {
             AttemptVerdict::NotRun => Outcome::Rejected,
@@ -85,8 +86,8 @@
         let (status, mut headers) = (parts.status, parts.headers);
         remove_hop_by_hop_headers(&mut headers);
         headers.remove(KEEP_ALIVE);
-        // These statuses tell a client that its request has not run. Without the server's `Not-Run` that may be false, so
-        // they are not passed on.
+        // These statuses tell a client that its request has not run. Without the server's `Not-Run` that may be false,
+        // so they are not passed on.
         let claims_not_run = matches!(
             status,
             StatusCode::REQUEST_TIMEOUT
