--- a/crates/emberpin-balancer/tests/recorded.rs
+++ b/crates/emberpin-balancer/tests/recorded.rs
@@ -11,7 +11,7 @@
 use emberpin_balancer::*;
 use recording::{assert_recorded, hex, recorded_lines, Recorded};
 
-const WITH_RATE_LIMIT: usize = 1;
+const RATE_LIMITED_PLAN: usize = 1;
 const CUSTOMER: u64 = 5;
 
 fn count(customer: u64) -> Entry {
@@ -160,7 +160,7 @@
 /// A gateway with two customers that have used up their quotas, and one server in maintenance.
 fn used_gateway() -> Harness {
     let mut harness = Harness::new(settings(), 3);
-    assert!(use_up_quota(&mut harness, 0) > 0 && use_up_quota(&mut harness, WITH_RATE_LIMIT) > 0);
+    assert!(use_up_quota(&mut harness, 0) > 0 && use_up_quota(&mut harness, RATE_LIMITED_PLAN) > 0);
     harness.handle(Event::Maintenance {
         server: ServerId(2),
         out_of_service: true,
@@ -173,7 +173,7 @@
     let bytes = |handover: Handover| postcard::to_allocvec(&handover).expect("encoded");
     let just_started = Harness::just_started(settings(), 2).gateway.to_handover();
     vec![
-        ("worn".into(), bytes(harness.gateway.to_handover())),
+        ("used".into(), bytes(harness.gateway.to_handover())),
         ("fresh".into(), bytes(just_started)),
     ]
 }
@@ -189,7 +189,7 @@
 
 #[test]
 fn a_handover_is_read_and_written_as_it_was_recorded() {
-    for name in ["worn", "fresh"] {
+    for name in ["used", "fresh"] {
         let (handover, bytes) = recorded_handover(name);
         assert_eq!(
             hex(&postcard::to_allocvec(&handover).expect("encoded")),
@@ -201,7 +201,7 @@
 
 #[test]
 fn a_gateway_continues_from_the_recorded_handover() {
-    let (handover, bytes) = recorded_handover("worn");
+    let (handover, bytes) = recorded_handover("used");
     let mut next = Harness::just_started(settings(), 3);
     next.now = 1_060_000.0;
     let endpoints = (0..3).map(server).collect();
@@ -214,12 +214,12 @@
     );
     assert_eq!(use_up_quota(&mut next, 0), 0, "a used quota stays used");
     assert_eq!(
-        use_up_quota(&mut next, WITH_RATE_LIMIT),
+        use_up_quota(&mut next, RATE_LIMITED_PLAN),
         0,
         "a used rate limit stays used"
     );
     // A gateway that has admitted nothing since hands over exactly the state that it received.
-    let (handover, _) = recorded_handover("worn");
+    let (handover, _) = recorded_handover("used");
     let (gateway, _) = Gateway::from_handover(
         settings(),
         9,
