--- a/crates/emberpin-limiter/src/between/handover.rs
+++ b/crates/emberpin-limiter/src/between/handover.rs
@@ -169,7 +169,7 @@
 
 fn unusable_state(problem: &str) -> (Event, Option<(HandoverState, Predecessor)>) {
     eprintln!(
-        "emberpin: no state taken over from the previous process, starting as after a kill: {problem}"
+        "emberpin: no state taken over from the previous process, starting with fresh state: {problem}"
     );
     (Event::StateUnusable, None)
 }
--- a/crates/emberpin-limiter/src/front/connections.rs
+++ b/crates/emberpin-limiter/src/front/connections.rs
@@ -347,7 +347,9 @@
         let mut framing = connection.framing.borrow_mut();
         framing.feed(received);
         // Empty lines before a request are not part of it.
-        if connection.stage.get() == Stage::Idle && !received.is_empty() && framing.is_mid_message()
+        if connection.stage.get() == Stage::Idle
+            && !received.is_empty()
+            && framing.expects_more_lines()
         {
             connection.stage.set(Stage::Head);
             connection.since.set(Instant::now());
--- a/crates/emberpin-limiter/src/front/framing.rs
+++ b/crates/emberpin-limiter/src/front/framing.rs
@@ -56,9 +56,9 @@
         self.ambiguous
     }
 
-    /// Whether the last byte received was inside a message's head or chunk framing, so that more bytes of it must
-    /// follow; also true once the position in the stream is unknown.
-    pub fn is_mid_message(&self) -> bool {
+    /// Whether the current message must have more lines: of its head, or of a chunked body's framing. False in a body
+    /// with a `Content-Length`, and true once the position in the stream is unknown.
+    pub fn expects_more_lines(&self) -> bool {
         match self.position {
             Position::Head { first: true } => self.line.iter().any(|byte| *byte != b'\r'),
             Position::Head { first: false }
@@ -198,9 +198,9 @@
         let mut framing = Framing::default();
         framing.feed(SIZED.as_bytes());
         framing.feed(b"\r\n\r");
-        assert!(!framing.is_mid_message());
+        assert!(!framing.expects_more_lines());
         framing.feed(b"\nG");
-        assert!(framing.is_mid_message());
+        assert!(framing.expects_more_lines());
     }
 
     proptest! {
--- a/crates/emberpin-limiter/src/limiter.rs
+++ b/crates/emberpin-limiter/src/limiter.rs
@@ -124,7 +124,7 @@
     }
     let revision = handed_over
         .as_ref()
-        .map_or(config.known.revision, |state| state.revision);
+        .map_or(config.initial_list.revision, |state| state.revision);
     let list_calls = ListCalls::new(&config, clock.now(), handed_over.is_some());
     let peer_lists = PeerLists::start(
         &config,
@@ -258,8 +258,8 @@
         return;
     };
     let newest = snapshot.read(start.disk, start.snapshot_age).await;
-    if let Some(list) = newest.filter(|list| list.revision > config.known.revision) {
-        config.known = list;
+    if let Some(list) = newest.filter(|list| list.revision > config.initial_list.revision) {
+        config.initial_list = list;
     }
 }
 
--- a/crates/emberpin-limiter/src/operate/config.rs
+++ b/crates/emberpin-limiter/src/operate/config.rs
@@ -48,8 +48,8 @@
     pub(crate) peers_all: Option<SocketAddr>,
     /// The address of the operators' HTTP interface.
     pub(crate) ops: Option<SocketAddr>,
-    /// The endpoint list that the platform's file states.
-    pub(crate) known: EndpointList,
+    /// The endpoint list to start with: the one in the platform's file, or a newer snapshot.
+    pub(crate) initial_list: EndpointList,
     pub(crate) settings: Settings,
     pub(crate) names: NameIndex,
     /// Maximum number of connections with clients.
@@ -235,7 +235,7 @@
             peers: file.peers,
             peers_all: file.peers_all,
             ops: file.ops,
-            known: file.known,
+            initial_list: file.known,
             connect_timeout: millis(file.settings.connect_timeout(), 250.0)?,
             server_idle_timeout: millis(file.settings.idle_timeout(), 15_000.0)?
                 .mul_f64(operator.connections.idle_share),
@@ -299,7 +299,7 @@
             self.server_idle_timeout.as_millis()
         )?;
         writeln!(to, "a request counts at most {} units", self.max_units)?;
-        writeln!(to, "known servers {}", self.known.targets.len())?;
+        writeln!(to, "known servers {}", self.initial_list.targets.len())?;
         match &self.log {
             Some((_, folder)) => writeln!(to, "log of '{}' in {}", self.name, folder.display()),
             None => Ok(()),
--- a/crates/emberpin-limiter/src/operate/request_path.rs
+++ b/crates/emberpin-limiter/src/operate/request_path.rs
@@ -41,10 +41,14 @@
     /// Those of [`Config::from_env`].
     pub fn from_env() -> Result<RequestPath, String> {
         let config = Config::from_env(&OperatorSettings::default())?;
-        let servers = config.known.targets.iter().filter_map(|entry| match entry {
-            ListEntry::Target(target) => target.server(&config.names).ok(),
-            ListEntry::Garbled(_) => None,
-        });
+        let servers = config
+            .initial_list
+            .targets
+            .iter()
+            .filter_map(|entry| match entry {
+                ListEntry::Target(target) => target.server(&config.names).ok(),
+                ListEntry::Garbled(_) => None,
+            });
         let servers = servers.collect();
         let admission = Admission::new(&config);
         let (gateway, now) = (Gateway::new(config.settings, config.seed, 0.0), 0.0);
--- a/crates/emberpin-limiter/src/upstream/discovery.rs
+++ b/crates/emberpin-limiter/src/upstream/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: watches the endpoint list at the list service, and recovers when the watch breaks.
+//! Discovery: watches the endpoint list at the discovery service, and recovers when the watch breaks.
 
 use crate::messages::Input;
 use crate::upstream::endpoint_list::EndpointList;
@@ -26,7 +26,7 @@
 /// silence may be a dead connection.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(4_500);
 
-/// Controls the watch of the list service.
+/// Controls the watch of the discovery service.
 pub struct Discovery {
     address: watch::Sender<SocketAddr>,
     refetch: Rc<Notify>,
@@ -59,8 +59,8 @@
         self.refetch.clone()
     }
 
-    /// Switches to the list service at this address at once. The current list stays in use until that service has sent
-    /// its own.
+    /// Switches to the discovery service at this address at once. The current list stays in use until that service has
+    /// sent its own.
     pub fn switch_to(&self, address: SocketAddr) {
         self.address
             .send_if_modified(|current| std::mem::replace(current, address) != address);
@@ -150,9 +150,9 @@
 struct WatchResult {
     /// Whether it received at least one event, keep-alives included.
     received_event: bool,
-    /// The time until the list service sent the head of its response; `None` if it sent none.
+    /// The time until the discovery service sent the head of its response; `None` if it sent none.
     response_time: Option<Duration>,
-    /// The delay that the list service asked for when it rejected the watch (`Retry-After`).
+    /// The delay that the discovery service asked for when it rejected the watch (`Retry-After`).
     retry_after: Option<Duration>,
 }
 
--- a/crates/emberpin-limiter/src/upstream/driver.rs
+++ b/crates/emberpin-limiter/src/upstream/driver.rs
@@ -34,14 +34,14 @@
     metrics: Arc<LimiterMetrics>,
     peers: Option<Rc<Peers>>,
     list_calls: Rc<ListCalls>,
-    /// Notified to fetch the full list again from the list service.
+    /// Notified to fetch the full list again from the discovery service.
     refetch: Rc<Notify>,
     /// Decides which lists are accepted, where `[start]` is on.
     list_trust: Option<Rc<ListTrust>>,
     peer_lists: Option<Rc<PeerLists>>,
     /// The revision of the applied list.
     revision: u64,
-    /// Which list service that list is from, see [`EndpointList::service_generation`].
+    /// Which discovery service that list is from, see [`EndpointList::service_generation`].
     service_generation: u32,
     /// Messages to the sibling process of this limiter, during an upgrade.
     sibling: Option<mpsc::Sender<Update>>,
@@ -87,7 +87,7 @@
         let (gateway, initial_list) = match state {
             None => (
                 Gateway::new(config.settings, config.seed, clock.now()),
-                config.known,
+                config.initial_list,
             ),
             Some(state) => {
                 let Config { settings, seed, .. } = config;
@@ -290,8 +290,8 @@
                         _ = sibling.try_send(Update::Usage(usage));
                     }
                 }
-                // `WatchServers` needs nothing, as the watch of the list service always runs; the engine has carried
-                // out all other actions.
+                // `WatchServers` needs nothing, as the watch of the discovery service always runs; the engine has
+                // carried out all other actions.
                 _ => {}
             }
         }
--- a/crates/emberpin-limiter/src/upstream/endpoint_list.rs
+++ b/crates/emberpin-limiter/src/upstream/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in the format of the list service: the full list, or changes to it.
+//! The endpoint list in the format of the discovery service: the full list, or changes to it.
 
 use emberpin_balancer::host_config::{stable_hash, NameIndex, ServerEntry, UnknownZone};
 use emberpin_balancer::{Server, ServerId, ServerStatus};
@@ -16,7 +16,7 @@
     /// Whether this is the full list; otherwise it contains only changed entries.
     pub full: bool,
     pub targets: Vec<Entry>,
-    /// Which list service it comes from: 0 for the first one that this process used, 1 for the next, and so on.
+    /// Which discovery service it comes from: 0 for the first one that this process used, 1 for the next, and so on.
     /// Revisions of different services cannot be compared.
     #[serde(skip)]
     pub service_generation: u32,
@@ -28,7 +28,7 @@
 /// Who sent an endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum ListSource {
-    /// The list service.
+    /// The discovery service.
     #[default]
     Service,
     /// Another limiter, which accepted it in this epoch; `confirmed` if a limiter first doubted the list and then
--- a/crates/emberpin-limiter/src/upstream/list_calls.rs
+++ b/crates/emberpin-limiter/src/upstream/list_calls.rs
@@ -1,5 +1,5 @@
-//! When this limiter calls the list service: hosts a [`CallSchedule`] with a clock, a random source and the messages of
-//! peers.
+//! When this limiter calls the discovery service. A call requests the endpoint list and begins a watch of it. Hosts a
+//! [`CallSchedule`] with a clock, a random source and the messages of peers.
 
 use crate::operate::config::Config;
 use emberpin_balancer::{gossip, GatewayId};
@@ -13,7 +13,7 @@
 /// Incarnations of limiters that started within this time of each other, in milliseconds, count as one common start.
 const COMMON_START_MS: f64 = 2_000.0;
 
-/// When this incarnation of the limiter calls the list service.
+/// When this incarnation of the limiter calls the discovery service.
 pub struct ListCalls {
     schedule: RefCell<CallSchedule>,
     random: RefCell<oorandom::Rand64>,
@@ -37,7 +37,7 @@
         };
         // Without `[start]`, changes to the list must be applied in time, so a limiter that already knows servers, and
         // whose list may be outdated, calls at once.
-        let may_wait = config.start.is_some() || config.known.targets.is_empty();
+        let may_wait = config.start.is_some() || config.initial_list.targets.is_empty();
         let calls_per_s = config
             .start
             .as_ref()
@@ -68,7 +68,7 @@
     }
 
     /// The delay of this limiter's first call, counted from the start or from when too few other limiters watch the
-    /// list service.
+    /// discovery service.
     pub fn first_call_delay(&self) -> Duration {
         self.schedule.borrow().first_call_at()
     }
@@ -107,7 +107,7 @@
         self.schedule.borrow_mut().next_delay(outcome, draw)
     }
 
-    /// Resets the backoff, since another list service is used from now on.
+    /// Resets the backoff, since another discovery service is used from now on.
     pub fn on_service_changed(&self) {
         self.schedule.borrow_mut().on_service_changed();
     }
--- a/crates/emberpin-limiter/src/upstream/list_watch.rs
+++ b/crates/emberpin-limiter/src/upstream/list_watch.rs
@@ -1,5 +1,5 @@
-//! Parses the stream of a watch of the list service: endpoint lists, each on one line or indented over several, and
-//! empty lines as keep-alives. No I/O.
+//! Parses the stream of a watch of the discovery service: endpoint lists, each on one line or indented over several,
+//! and empty lines as keep-alives. No I/O.
 
 use crate::upstream::endpoint_list::EndpointList;
 
--- a/crates/emberpin-limiter/src/upstream/peer_lists.rs
+++ b/crates/emberpin-limiter/src/upstream/peer_lists.rs
@@ -1,5 +1,5 @@
-//! Exchanges endpoint lists between limiters over the link, so that only a few of them watch the list service. Hosts
-//! the state machine [`ListDissemination`]: passes events to it with the time, and carries out its actions.
+//! Exchanges endpoint lists between limiters over the link, so that only a few of them watch the discovery service.
+//! Hosts the state machine [`ListDissemination`]: passes events to it with the time, and carries out its actions.
 //!
 //! A list that would remove many servers is doubted: it is not accepted until the doubt expires or an operator
 //! overrides it, see `list_trust`. A list that is accepted after a doubt gets a higher epoch, and peers then accept it
@@ -22,7 +22,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// How often a limiter that watches the list service sends a heartbeat.
+/// How often a limiter that watches the discovery service sends a heartbeat.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_000);
 /// After how many heartbeat intervals without a heartbeat a watcher counts as lost.
 const MISSED_HEARTBEATS: f64 = 3.5;
@@ -32,13 +32,13 @@
 
 /// The exchange of endpoint lists between this limiter and its peers.
 pub struct PeerLists {
-    /// Decides which messages are sent, and whether this limiter watches the list service.
+    /// Decides which messages are sent, and whether this limiter watches the discovery service.
     protocol: RefCell<ListDissemination>,
     link: Rc<Link>,
     started_at: Instant,
-    /// The name or address of the list service that this limiter uses. Lists of other services are ignored.
+    /// The name or address of the discovery service that this limiter uses. Lists of other services are ignored.
     service_name: RefCell<String>,
-    /// How many times the list service was replaced by another, see [`EndpointList::service_generation`].
+    /// How many times the discovery service was replaced by another, see [`EndpointList::service_generation`].
     service_generation: Cell<u32>,
     /// The list that the driver accepted last, as it is sent to peers.
     accepted_list: RefCell<EncodedList>,
@@ -86,6 +86,7 @@
         superseded_tx: mpsc::UnboundedSender<()>,
         inputs: mpsc::Sender<Input>,
     ) -> Option<Rc<PeerLists>> {
+        // The setting `callers` is the number of limiters that watch the discovery service.
         let watchers = config.start.as_ref()?.callers?;
         let ((link_settings, number), link) = (config.link.as_ref()?, link?);
         let members: BTreeSet<u32> = link_settings
@@ -103,7 +104,7 @@
             .unwrap_or_default()
             .as_millis();
         let configured_revision =
-            Some(config.known.revision).filter(|_| !config.known.targets.is_empty());
+            Some(config.initial_list.revision).filter(|_| !config.initial_list.targets.is_empty());
         let protocol = ListDissemination::new(
             *number,
             Incarnation(u64::try_from(started_at_ms).unwrap_or(u64::MAX)),
@@ -138,7 +139,7 @@
         Some(peer_lists)
     }
 
-    /// Returns once this limiter has to watch the list service itself.
+    /// Returns once this limiter has to call the discovery service, which begins its own watch of the list.
     pub async fn wait_for_turn(&self, list_calls: &ListCalls) {
         loop {
             let due_at = self
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Returns once so many other limiters watch the list service that this limiter's watch is not needed.
+    /// Returns once so many other limiters watch the discovery service that this limiter's watch is not needed.
     pub async fn wait_until_surplus(&self) {
         while !self
             .protocol
@@ -178,7 +179,7 @@
             .map(|version| version.revision)
     }
 
-    /// Records whether this limiter's own watch of the list service works.
+    /// Records whether this limiter's own watch of the discovery service works.
     pub fn set_watching(&self, watching: bool) {
         // A limiter that cannot send its list to peers must not count as a watcher: each limiter then watches the list
         // service itself.
@@ -190,7 +191,7 @@
     }
 
     /// Records that the driver has accepted this list, and announces it to peers. `despite_doubt` if it was doubted
-    /// before; if such a list came from the list service, it begins a new epoch.
+    /// before; if such a list came from the discovery service, it begins a new epoch.
     pub fn on_list_accepted(
         &self,
         list_revision: u64,
@@ -231,7 +232,7 @@
         self.update(|protocol, now, actions| protocol.on_list_accepted(now, version, actions));
     }
 
-    /// Records that the list service at `address` is used from now on, in place of the previous one.
+    /// Records that the discovery service at `address` is used from now on, in place of the previous one.
     pub fn on_service_changed(&self, address: SocketAddr) {
         *self.service_name.borrow_mut() = address.to_string();
         self.service_generation
@@ -244,7 +245,7 @@
             Ok((service_name, message)) if service_name == *self.service_name.borrow() => {
                 self.update(|protocol, now, actions| protocol.on_message(now, from, message, actions));
             }
-            // The peer uses another list service, whose revisions cannot be compared with those of this one.
+            // The peer uses another discovery service, whose revisions cannot be compared with those of this one.
             Ok(_) => {}
             Err(e) => eprintln!(
                 "emberpin: link: message of member {from} about the endpoint list cannot be decoded: {e}"
--- a/crates/emberpin-limiter/src/upstream/server/connection.rs
+++ b/crates/emberpin-limiter/src/upstream/server/connection.rs
@@ -41,7 +41,7 @@
     stream: Rc<RefCell<TcpStream>>,
     pub(super) progress: Rc<WriteProgress>,
     /// How long the server has stated that it keeps the connection open while idle, less a safety margin.
-    pub(super) stated_lifetime: Option<Duration>,
+    pub(super) stated_idle_timeout: Option<Duration>,
     /// How long the connection was idle before this use.
     pub(super) idle_time: Duration,
     /// Returned to the pool's limit on sockets when dropped.
@@ -84,7 +84,7 @@
             closed: false,
             stream,
             progress,
-            stated_lifetime: None,
+            stated_idle_timeout: None,
             idle_time: Duration::ZERO,
             _socket: socket,
         })
--- a/crates/emberpin-limiter/src/upstream/server/pool.rs
+++ b/crates/emberpin-limiter/src/upstream/server/pool.rs
@@ -151,13 +151,13 @@
 
     fn is_fresh(&self, idle: &IdleConnection) -> bool {
         let (now, idle_time) = (Instant::now(), idle.since.elapsed());
-        let lifetime = idle
+        let idle_timeout = idle
             .connection
-            .stated_lifetime
+            .stated_idle_timeout
             .map_or(self.limits.idle_timeout, |stated| {
                 stated.min(self.limits.idle_timeout)
             });
-        idle_time < lifetime && self.lifetimes.borrow().is_usable(now, idle_time)
+        idle_time < idle_timeout && self.lifetimes.borrow().is_usable(now, idle_time)
     }
 
     /// Records whether a request on a connection that had been idle for `idle_time` was lost with the connection or
--- a/crates/emberpin-limiter/src/upstream/server/response.rs
+++ b/crates/emberpin-limiter/src/upstream/server/response.rs
@@ -98,7 +98,7 @@
         {
             return Err(ExchangeError::InvalidResponse);
         }
-        self.stated_lifetime = rules.wire.idle_timeout(head.headers());
+        self.stated_idle_timeout = rules.wire.idle_timeout(head.headers());
         let may_stream =
             rules.may_stream && rules.wire.outcome(rules.request_id, &head) == Outcome::Ok;
         let body = self
--- a/crates/emberpin-limiter/src/upstream/server/write_progress.rs
+++ b/crates/emberpin-limiter/src/upstream/server/write_progress.rs
@@ -20,17 +20,17 @@
     /// The HTTP library has received the end of the request's body.
     body_ended: Cell<bool>,
     complete: Cell<bool>,
-    /// Counts the requests that were written completely; `None` for a health check, which is not counted.
-    attempts: RefCell<Option<IntCounter>>,
+    /// Incremented once the request is written completely; `None` for a health check, which is not counted.
+    completed_writes: RefCell<Option<IntCounter>>,
 }
 
 impl WriteProgress {
     /// Resets the progress for the next request on the connection.
-    pub(super) fn reset(&self, attempts: Option<IntCounter>, body_is_empty: bool) {
+    pub(super) fn reset(&self, completed_writes: Option<IntCounter>, body_is_empty: bool) {
         self.started.set(false);
         self.body_ended.set(body_is_empty);
         self.complete.set(false);
-        self.attempts.replace(attempts);
+        self.completed_writes.replace(completed_writes);
     }
 
     /// Records that the HTTP library has received the request's whole body.
@@ -50,8 +50,8 @@
 
     fn on_flushed(&self) {
         if self.started.get() && self.body_ended.get() && !self.complete.replace(true) {
-            if let Some(attempts) = &*self.attempts.borrow() {
-                attempts.inc();
+            if let Some(completed_writes) = &*self.completed_writes.borrow() {
+                completed_writes.inc();
             }
         }
     }
--- a/crates/emberpin-limiter/src/upstream/wire.rs
+++ b/crates/emberpin-limiter/src/upstream/wire.rs
@@ -59,7 +59,8 @@
     pub is_forwardable: bool,
 }
 
-/// The headers of the limiter that is configured by `GW_CONFIG`.
+/// The header conventions of this package's program, whose platform file is named by `GW_CONFIG`. The proxy, which runs
+/// the same upstream code, has its own.
 pub struct PlatformWire;
 
 impl Wire for PlatformWire {
--- a/crates/emberpin-limiter/tests/bad_clients.rs
+++ b/crates/emberpin-limiter/tests/bad_clients.rs
@@ -36,15 +36,17 @@
     let limiter = Limiter::start(&[target("s-1", server.address, "ready")]);
     let idle = limiter.connect();
     check_served(&idle, &server, "1");
-    let half_second_request = limiter.connect();
-    check_served(&half_second_request, &server, "2");
-    let (silent, half_request) = (limiter.connect(), limiter.connect());
+    let unfinished_second = limiter.connect();
+    check_served(&unfinished_second, &server, "2");
+    let (silent, unfinished_first) = (limiter.connect(), limiter.connect());
     let head = &request("look", "3", "wide", 30.0)[..40];
-    (&half_request).write_all(head.as_bytes()).expect("sent");
-    (&half_second_request)
+    (&unfinished_first)
         .write_all(head.as_bytes())
         .expect("sent");
-    [&silent, &half_request, &half_second_request]
+    (&unfinished_second)
+        .write_all(head.as_bytes())
+        .expect("sent");
+    [&silent, &unfinished_first, &unfinished_second]
         .into_iter()
         .for_each(wait_until_closed);
     check_served(&idle, &server, "4");
@@ -157,7 +159,7 @@
     let started = Instant::now();
     while (&clients[0]).read(&mut [0]).is_err() {
         assert!(
-            started.elapsed() < LONG,
+            started.elapsed() < WAIT_TIMEOUT,
             "the connection that has been idle longest was not closed"
         );
         assert!(limiter.get("/health/ready").is_some());
--- a/crates/emberpin-limiter/tests/bad_servers.rs
+++ b/crates/emberpin-limiter/tests/bad_servers.rs
@@ -141,7 +141,7 @@
     }
 }
 
-/// Good responses after interim 1xx responses, or with load reports and use headers that cannot be parsed.
+/// Good responses after interim 1xx responses, or with `Srv-Load` and `X-RateLimit-Used` headers that cannot be parsed.
 #[test]
 fn good_responses_with_unparsable_extras_are_served() {
     let server = Listener::start();
--- a/crates/emberpin-limiter/tests/bodies.rs
+++ b/crates/emberpin-limiter/tests/bodies.rs
@@ -27,7 +27,7 @@
 
 fn accept(listener: &TcpListener) -> BufReader<TcpStream> {
     let (stream, _) = listener.accept().expect("arrives");
-    stream.set_read_timeout(Some(LONG)).expect("set");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
     BufReader::new(stream)
 }
 
@@ -280,10 +280,10 @@
 #[test]
 fn an_upload_is_retried_only_while_no_unbuffered_chunk_was_sent() {
     let refusing = TcpListener::bind("127.0.0.1:0").expect("bound");
-    let gone = target("s-2", refusing.local_addr().expect("bound"), "ready");
+    let unreachable = target("s-2", refusing.local_addr().expect("bound"), "ready");
     drop(refusing);
-    let (server, known) = raw_server();
-    let limiter = Limiter::start(&[known, gone]);
+    let (server, reachable) = raw_server();
+    let limiter = Limiter::start(&[reachable, unreachable]);
     let sent = long_body();
     // Whichever server is tried first, the upload reaches the one that accepts connections.
     for number in 0..3 {
--- a/crates/emberpin-limiter/tests/common/peer.rs
+++ b/crates/emberpin-limiter/tests/common/peer.rs
@@ -12,7 +12,7 @@
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
 use std::time::{Duration, Instant};
 
-const WAIT_LIMIT: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 const LIMITER: &str = "n0";
 
 /// A message that the limiter sent.
@@ -64,7 +64,7 @@
             link,
             limiter,
             streams,
-            next: 0,
+            last_connection: 0,
             inputs: inputs.clone(),
             messages,
             reachable,
@@ -83,7 +83,7 @@
     pub fn wait_until_reachable(&self) {
         let incarnation = self
             .became_reachable
-            .recv_timeout(WAIT_LIMIT)
+            .recv_timeout(WAIT_TIMEOUT)
             .expect("the limiter is reached");
         self.limiter_incarnation.set(incarnation).expect("once");
     }
@@ -103,7 +103,7 @@
     /// Waits for the limiter's next message.
     pub fn next(&self) -> ReceivedMessage {
         self.received_messages
-            .recv_timeout(WAIT_LIMIT)
+            .recv_timeout(WAIT_TIMEOUT)
             .expect("a message of the limiter")
     }
 
@@ -154,7 +154,8 @@
     link: Peering,
     limiter: SocketAddr,
     streams: HashMap<ConnectionId, TcpStream>,
-    next: u64,
+    /// Number of the last connection.
+    last_connection: u64,
     inputs: Sender<Input>,
     messages: Sender<ReceivedMessage>,
     reachable: Sender<Incarnation>,
@@ -244,8 +245,8 @@
     }
 
     fn open(&mut self, stream: TcpStream) -> ConnectionId {
-        self.next += 1;
-        let connection = ConnectionId(self.next);
+        self.last_connection += 1;
+        let connection = ConnectionId(self.last_connection);
         let (mut reader, inputs) = (stream.try_clone().expect("cloned"), self.inputs.clone());
         std::thread::spawn(move || {
             let mut bytes = [0; 4096];
--- a/crates/emberpin-limiter/tests/common/sockets.rs
+++ b/crates/emberpin-limiter/tests/common/sockets.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// Time-out of every wait; far longer than any step takes, so only a failing test reaches it.
-pub const LONG: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Returns a loopback address that no other test on this machine uses.
 pub fn own_host() -> String {
@@ -101,7 +101,9 @@
 
     /// Waits until the other side has closed the connection.
     pub fn wait_until_closed(mut self) {
-        self.stream.set_read_timeout(Some(LONG)).expect("set");
+        self.stream
+            .set_read_timeout(Some(WAIT_TIMEOUT))
+            .expect("set");
         match self.stream.read_exact(&mut [0u8]).map_err(|e| e.kind()) {
             Err(ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset) => {}
             other => panic!("the connection is still used: {other:?}"),
@@ -140,7 +142,9 @@
 
     /// Waits for the next message.
     pub fn next(&self) -> Message {
-        self.messages.recv_timeout(LONG).expect("a message arrives")
+        self.messages
+            .recv_timeout(WAIT_TIMEOUT)
+            .expect("a message arrives")
     }
 
     /// Returns the next message if it arrives within 5 ms.
@@ -148,7 +152,7 @@
         self.messages.recv_timeout(Duration::from_millis(5)).ok()
     }
 
-    /// Whether no message is queued. Takes a queued message.
+    /// Whether no message is queued. If one is, it is removed from the queue.
     pub fn is_quiet(&self) -> bool {
         self.messages.try_recv().is_err()
     }
@@ -211,21 +215,21 @@
 }
 
 impl Limiter {
-    /// Starts a limiter that knows these servers, and waits until it is ready.
-    pub fn start(known: &[Value]) -> Limiter {
-        Limiter::start_with(known, |_| {})
+    /// Starts a limiter whose configured endpoint list has these servers, and waits until it is ready.
+    pub fn start(servers: &[Value]) -> Limiter {
+        Limiter::start_with(servers, |_| {})
     }
 
     /// Like [`Self::start`], after `change` has edited the configuration.
-    pub fn start_with(known: &[Value], change: impl FnOnce(&mut Value)) -> Limiter {
-        let mut limiter = Limiter::prepare(known);
+    pub fn start_with(servers: &[Value], change: impl FnOnce(&mut Value)) -> Limiter {
+        let mut limiter = Limiter::prepare(servers);
         change(&mut limiter.config);
         limiter.run();
         limiter
     }
 
     /// Prepares a limiter with its configuration, but starts no process.
-    pub fn prepare(known: &[Value]) -> Limiter {
+    pub fn prepare(servers: &[Value]) -> Limiter {
         let host = own_host();
         let address = free_port(&host);
         let discovery = Listener::start();
@@ -246,7 +250,7 @@
             "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "peer_listen": peer_listen.to_string(),
             "peers": [peer_listen.to_string(), peer.local_addr().expect("bound").to_string()],
-            "known": {"rev": 41, "all": true, "targets": known},
+            "known": {"rev": 41, "all": true, "targets": servers},
             "settings": {
                 "my-number": 0, "group-size": 2, "zone": "a", "failure-domains": ["a", "b"], "kinds": ["std"],
                 "profiles": [class("look", "safe"), class("submit", "keyed"), class("pay", "unsafe")],
@@ -306,7 +310,7 @@
             .get("/health/ready")
             .is_none_or(|answer| answer.status() != 200)
         {
-            assert!(started.elapsed() < LONG, "not ready in time");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "not ready in time");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -322,7 +326,10 @@
             if self.child().try_wait().expect("waited").is_some() {
                 return false;
             }
-            assert!(started.elapsed() < LONG, "neither ready nor exited in time");
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "neither ready nor exited in time"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
         true
@@ -372,7 +379,7 @@
             if let Some(status) = self.child().try_wait().expect("waited") {
                 return status;
             }
-            assert!(started.elapsed() < LONG, "does not exit in time");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "does not exit in time");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -384,7 +391,7 @@
 
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).expect("connects");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
         stream
     }
 
@@ -402,7 +409,7 @@
 
     pub fn get(&self, path: &str) -> Option<Message> {
         let mut stream = TcpStream::connect(self.address).ok()?;
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
         stream
             .write_all(format!("GET {path} HTTP/1.1\r\nHost: s\r\n\r\n").as_bytes())
             .ok()?;
--- a/crates/emberpin-limiter/tests/idempotency.rs
+++ b/crates/emberpin-limiter/tests/idempotency.rs
@@ -139,8 +139,8 @@
 #[test]
 fn a_key_that_may_have_run_is_reported_and_never_sent_again() {
     let site = Site::start("quiet_s = 0");
-    // Neither the server's error nor its later silence proves that nothing ran. The module retries within the same
-    // server group, and then fails the request.
+    // Neither the server's error nor its later silence proves that nothing ran. The decision module retries within the
+    // same server group, and then fails the request.
     let first = site.limiter.ask(&keyed("1", "key", "image", 0.4));
     assert_eq!(
         site.response_with_server_status(&first, "500 Error", "")
@@ -160,7 +160,7 @@
     let refused =
         site.response_with_server_status(&site.ask("1", "key", "image"), "503 Busy", declined);
     assert_eq!(refused.status(), 429);
-    // The module may avoid the server for a while; the request that is forwarded in the end is not a repeat.
+    // The decision module may avoid the server for a while; the request that is forwarded in the end is not a repeat.
     let served = (2..100)
         .map(|id| {
             site.response_with_server_status(
@@ -185,7 +185,7 @@
     let started = Instant::now();
     let waiter = site.limiter.exchange(&keyed("2", "key", "image", 0.2));
     assert_eq!(waiter.status(), 504);
-    assert!(started.elapsed() < LONG / 2);
+    assert!(started.elapsed() < WAIT_TIMEOUT / 2);
     assert!(detail(&waiter).contains("still out"));
     arrived.answer("200 OK", "", "done");
     assert_eq!(Message::read(&first).expect("an answer").status(), 200);
@@ -198,7 +198,8 @@
     let mut arrived = site.server.next();
     let repeat = site.ask("2", "key", "image");
     first.shutdown(Shutdown::Both).expect("left");
-    // This exchange follows the disconnection, so the driver has been informed if it is at all.
+    // This exchange begins after the disconnection: once it is answered, the limiter would have cancelled the first
+    // request if it did so on a disconnection.
     assert_eq!(
         site.limiter
             .get("/health/ready")
--- a/crates/emberpin-limiter/tests/keys_log.rs
+++ b/crates/emberpin-limiter/tests/keys_log.rs
@@ -17,7 +17,8 @@
     server: Listener,
     files: Vec<PathBuf>,
     folder: PathBuf,
-    next: u32,
+    /// Id of the last request.
+    last_request: u32,
     /// The body of the server's responses.
     answer: String,
     /// Number of complete attempts that arrived at the server, by key.
@@ -39,7 +40,7 @@
             server,
             files,
             folder,
-            next: 0,
+            last_request: 0,
             answer: "signed".into(),
             attempts: BTreeMap::new(),
         }
@@ -83,10 +84,10 @@
     /// Sends a request with this key, while the server serves every attempt. Returns the response, or `None` if the
     /// limiter crashed meanwhile.
     fn ask(&mut self, key: &str) -> Option<Message> {
-        self.next += 1;
-        let text = request("submit", &format!("{}", self.next), "wide", 30.0);
+        self.last_request += 1;
+        let text = request("submit", &format!("{}", self.last_request), "wide", 30.0);
         let text = text.replace(
-            &format!("Idempotency-Key: k-{}", self.next),
+            &format!("Idempotency-Key: k-{}", self.last_request),
             &format!("Idempotency-Key: {key}"),
         );
         let mut client = TcpStream::connect(self.limiter.address).ok()?;
@@ -101,14 +102,14 @@
                 arrived.try_answer("200 OK", "", &self.answer);
             }
             client.set_nonblocking(true).expect("set");
-            let there = match client.peek(&mut [0]) {
+            let has_answer = match client.peek(&mut [0]) {
                 Ok(0) => return None,
                 Ok(_) => true,
                 Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => false,
                 Err(_) => return None,
             };
             client.set_nonblocking(false).expect("set");
-            if there {
+            if has_answer {
                 return Message::read(&client);
             }
         }
--- a/crates/emberpin-limiter/tests/limiter.rs
+++ b/crates/emberpin-limiter/tests/limiter.rs
@@ -33,7 +33,7 @@
         if let Some(message) = one.poll().or_else(|| other.poll()) {
             return message;
         }
-        assert!(started.elapsed() < LONG, "no message arrives");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "no message arrives");
     }
 }
 
@@ -52,7 +52,7 @@
         .expect("Linux")
         .contains(&remote)
     {
-        assert!(started.elapsed() < LONG, "no connection is opened");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "no connection is opened");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -324,9 +324,9 @@
 fn a_request_is_retried_after_a_refused_connection() {
     let server = Listener::start();
     let unreachable = target("s-0", free_port(&own_host()), "ready");
-    let mut known = ready(&[&server]);
-    known.push(unreachable);
-    let limiter = Limiter::start(&known);
+    let mut endpoints = ready(&[&server]);
+    endpoints.push(unreachable);
+    let limiter = Limiter::start(&endpoints);
     for _ in 0..6 {
         let client = limiter.ask(&request("pay", "1", "wide", 30.0));
         server.next().answer("200 OK", "", "");
@@ -390,13 +390,13 @@
 fn an_age_at_which_idle_connections_are_reset_is_learned_and_avoided() {
     let server = Listener::start();
     let limiter = Limiter::start(&ready(&[&server]));
-    let mut known: HashSet<SocketAddr> = HashSet::new();
+    let mut seen: HashSet<SocketAddr> = HashSet::new();
     let mut lost = 0;
     // A new connection serves its request; one that has been idle is closed when its next request arrives.
     for round in 0..40 {
         let client = limiter.ask(&request("pay", &format!("a{round}"), "wide", 60.0));
         let mut arrived = server.next();
-        if known.insert(arrived.stream.peer_addr().expect("known")) {
+        if seen.insert(arrived.stream.peer_addr().expect("known")) {
             arrived.answer("200 OK", "", "ok");
             assert_eq!(Message::read(&client).expect("an answer").status(), 200);
         } else {
@@ -479,7 +479,10 @@
     // none may.
     let started = Instant::now();
     loop {
-        assert!(started.elapsed() < LONG, "the update was not applied");
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "the update was not applied"
+        );
         let client = limiter.ask(&request("pay", "1", "wide", 30.0));
         let mut arrived = next_at_either(&old, &new);
         let update_applied = arrived.stream.local_addr().expect("known") == new.address;
@@ -614,7 +617,10 @@
             if arrived.stream.local_addr().expect("known") == servers[1].address {
                 break;
             }
-            assert!(started.elapsed() < LONG, "the new list was not applied");
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "the new list was not applied"
+            );
         }
         moved.list(8, true, &ready(&[&servers[0]]));
         // Invalid files: the watch stays where it is.
@@ -631,7 +637,7 @@
             if arrived.stream.local_addr().expect("known") == servers[1].address {
                 break;
             }
-            assert!(started.elapsed() < LONG, "the watch was lost");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "the watch was lost");
         }
         moved.list(11, true, &ready(&[&servers[0]]));
         old = moved;
@@ -650,7 +656,10 @@
         .as_str()
         .expect("text")
         .to_string();
-    limiter.peer.set_read_timeout(Some(LONG)).expect("set");
+    limiter
+        .peer
+        .set_read_timeout(Some(WAIT_TIMEOUT))
+        .expect("set");
     let mut incarnations = Vec::new();
     for _ in 0..2 {
         for malformed in [&b""[..], &[2, 0, 0], &[0xff; 256], &[2; 300]] {
@@ -662,7 +671,7 @@
         assert_eq!(Message::read(&client).expect("an answer").status(), 200);
         let started = Instant::now();
         incarnations.push(loop {
-            assert!(started.elapsed() < LONG, "no count arrives");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "no count arrives");
             let mut bytes = [0u8; 300];
             let length = match limiter.peer.recv(&mut bytes) {
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
@@ -696,7 +705,7 @@
         .status()
         == 200
     {
-        assert!(started.elapsed() < LONG, "stays ready");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "stays ready");
     }
     (&idle)
         .write_all(request("look", "2", "wide", 30.0).as_bytes())
--- a/crates/emberpin-limiter/tests/link.rs
+++ b/crates/emberpin-limiter/tests/link.rs
@@ -1,5 +1,5 @@
 //! Three limiters that replicate idempotency keys over the link, on loopback sockets: mutual TLS, unauthorized
-//! connections, and keys that any of the limiters serves.
+//! connections, and keyed requests, which any of the three limiters can answer.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
@@ -158,7 +158,10 @@
                     assert_eq!(answer.body, format!("signed {key}").as_bytes());
                     return all_attempts;
                 }
-                503 => assert!(started.elapsed() < LONG, "the key was not granted in time"),
+                503 => assert!(
+                    started.elapsed() < WAIT_TIMEOUT,
+                    "the key was not granted in time"
+                ),
                 other => panic!("unexpected status {other}"),
             }
         }
@@ -278,7 +281,7 @@
                 TcpStream::connect(site.links[1]).expect("the limiter accepts a connection");
             unauthorized.write_all(bytes).expect("the bytes are sent");
             unauthorized
-                .set_read_timeout(Some(LONG))
+                .set_read_timeout(Some(WAIT_TIMEOUT))
                 .expect("the read time-out is set");
             // The limiter closes it, with an alert where TLS is used.
             let mut rest = Vec::new();
@@ -307,7 +310,7 @@
 #[test]
 fn hundreds_of_repeats_of_one_key_through_three_limiters_run_once() {
     let mut site = Site::started(false);
-    // Waits until the links are up: a limiter serves a key only once it is connected to a majority.
+    // Waits until the links are up: a limiter forwards a keyed request only once it is connected to a majority.
     for n in 0..3 {
         site.ask_until_served(n, &format!("before-{n}"));
     }
@@ -329,7 +332,7 @@
         *counts.entry(answer.status()).or_insert(0) += 1;
     }
     assert!(site.server.is_quiet(), "{counts:?}");
-    // Each limiter lets 64 repeats wait; the others are answered that the first request is in flight.
+    // At each limiter, 64 repeats wait for the answer; further ones receive 409, as the first request is in flight.
     assert!(
         counts[&200] >= 3 && counts.keys().all(|status| [200, 409].contains(status)),
         "{counts:?}"
--- a/crates/emberpin-limiter/tests/operator_api.rs
+++ b/crates/emberpin-limiter/tests/operator_api.rs
@@ -29,7 +29,7 @@
     /// Sends one request; returns the status, and the whole text of the response.
     fn call(&self, method: &str, path: &str) -> (u16, String) {
         let mut stream = TcpStream::connect(self.0).expect("connects");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
         stream
             .write_all(format!("{method} {path} HTTP/1.1\r\nHost: s\r\n\r\n").as_bytes())
             .expect("sent");
@@ -63,7 +63,7 @@
         let started = Instant::now();
         while self.metric(name) != value {
             assert!(
-                started.elapsed() < LONG,
+                started.elapsed() < WAIT_TIMEOUT,
                 "{name} is {} and not {value}",
                 self.metric(name)
             );
@@ -129,7 +129,7 @@
     let started = Instant::now();
     for number in 100.. {
         assert!(
-            started.elapsed() < LONG,
+            started.elapsed() < WAIT_TIMEOUT,
             "the server receives no requests again"
         );
         let client = limiter.ask(&request("look", &format!("r{number}"), "wide", 30.0));
--- a/crates/emberpin-limiter/tests/recorded_disk.rs
+++ b/crates/emberpin-limiter/tests/recorded_disk.rs
@@ -18,7 +18,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Instant, SystemTime};
 
-/// A record of the log as this test reads it; the limiter's own type is private to it.
+/// A record of the log. The limiter's own type is private, so the test has this copy.
 #[derive(Debug, Serialize, Deserialize)]
 enum Entry {
     Secret([u8; 32]),
@@ -40,7 +40,7 @@
 
 /// Only one site exists at a time: a process that another test starts would hold the lock of a log that this one has
 /// open, from its fork to its exec.
-static TURN: Mutex<()> = Mutex::new(());
+static SITE_LOCK: Mutex<()> = Mutex::new(());
 
 /// A limiter with an operator file, and its one server.
 struct Site {
@@ -49,13 +49,13 @@
     operator: PathBuf,
     folder: PathBuf,
     /// Released after all other fields are dropped.
-    _turn: MutexGuard<'static, ()>,
+    _site_lock: MutexGuard<'static, ()>,
 }
 
 impl Site {
     /// `operator` returns the operator file's text for the folder in which the limiter stores its files.
     fn prepare(operator: impl Fn(&Path) -> String) -> Site {
-        let turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
+        let site_lock = SITE_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
         let server = Listener::start();
         let limiter = Limiter::prepare(&[target("s-1", server.address, "ready")]);
         let operator_file = limiter.file("operator.toml", "");
@@ -66,7 +66,7 @@
             server,
             operator: operator_file,
             folder,
-            _turn: turn,
+            _site_lock: site_lock,
         }
     }
 
@@ -101,7 +101,7 @@
         self.limiter.run_as(command);
     }
 
-    fn begin_log(&self) {
+    fn init_log(&self) {
         assert!(self
             .command()
             .args(["log", "init"])
@@ -167,7 +167,7 @@
 /// The records of a process that served one key and was killed while it had a request of another in flight.
 fn write_keys() -> Vec<Recorded> {
     let mut site = Site::with_log();
-    site.begin_log();
+    site.init_log();
     site.start();
     assert_eq!(site.served("first").status(), 200);
     let _client = site.limiter.ask(&keyed("second"));
@@ -265,7 +265,7 @@
     records.iter().find_map(is_served).expect("a served key")
 }
 
-/// Except for the time and the fingerprint, which differ in each run.
+/// The time and the fingerprint are not compared, as they differ in each run.
 #[test]
 fn a_served_keys_record_equals_the_recorded_one() {
     let (recorded, written) = (served(&recorded_keys()), served(&write_keys()));
@@ -333,7 +333,7 @@
     assert_eq!(site.answered_without_server("new").status(), 409);
 }
 
-/// The snapshot of a limiter that received one endpoint from its list service.
+/// The snapshot of a limiter that received one endpoint from its discovery service.
 fn write_list(site: &mut Site) -> Vec<u8> {
     site.start();
     let mut watch = site.limiter.watch();
@@ -341,7 +341,7 @@
     let path = site.folder.join("list");
     let started = Instant::now();
     while !path.exists() {
-        assert!(started.elapsed() < LONG, "never saved");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "never saved");
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
     std::fs::read(&path).expect("read")
--- a/crates/emberpin-limiter/tests/recorded_peers.rs
+++ b/crates/emberpin-limiter/tests/recorded_peers.rs
@@ -9,8 +9,8 @@
 #[path = "common/sockets.rs"]
 mod sockets;
 
-use emberpin_failover::{Ballot, FirstAttempt, Member, Message as OfWork, Work, WorkId};
-use emberpin_idempotency::claims::{Claim, Message as OfKeys};
+use emberpin_failover::{Ballot, FirstAttempt, Member, Message as WorkMessage, Work, WorkId};
+use emberpin_idempotency::claims::{Claim, Message as KeyMessage};
 use emberpin_idempotency::{Fingerprint, Key};
 use emberpin_startup::list_messages::{ListMessage, ListVersion, WatcherHeartbeat};
 use peer::{Peer, ReceivedMessage};
@@ -104,7 +104,10 @@
         self.peers.iter().for_each(Peer::wait_until_reachable);
         let (started, mut asked) = (Instant::now(), [false; 2]);
         for number in 0.. {
-            assert!(started.elapsed() < LONG, "the limiter never reached both");
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "the limiter never reached both"
+            );
             let answer = Message::read(&self.ask(&format!("meeting-{number}"))).expect("an answer");
             assert_eq!(answer.status(), 503, "no peer grants it");
             for (asked, peer) in asked.iter_mut().zip(&self.peers) {
@@ -138,7 +141,7 @@
         let (started, mut first) = (Instant::now(), BTreeMap::new());
         while first.len() < NAMES.len() || !has_answer(client) {
             assert!(
-                started.elapsed() < LONG,
+                started.elapsed() < WAIT_TIMEOUT,
                 "only received: {:?}",
                 first.keys()
             );
@@ -162,38 +165,41 @@
 
 fn has_answer(client: &TcpStream) -> bool {
     client.set_nonblocking(true).expect("set");
-    let there = client.peek(&mut [0]).is_ok();
+    let has_answer = client.peek(&mut [0]).is_ok();
     client.set_nonblocking(false).expect("set");
-    there
+    has_answer
 }
 
-/// The names of the recorded messages.
+/// The names of the messages in the file of recordings.
 const NAMES: [&str; 4] = ["wants", "going", "served", "over"];
 
 /// The name of a message, and the reply of a peer that agrees; `None` for messages that are not recorded.
 fn name_and_reply(message: &ReceivedMessage) -> Option<(&'static str, Option<Vec<u8>>)> {
     if message.kind == KEY_MESSAGES {
-        return match of_keys(&message.body) {
-            OfKeys::Request { claim, key, .. } if key.as_str() == "first" => {
-                Some(("wants", Some(encode(&OfKeys::<Answer>::Granted(claim)))))
+        return match decode_key_message(&message.body) {
+            KeyMessage::Request { claim, key, .. } if key.as_str() == "first" => {
+                Some(("wants", Some(encode(&KeyMessage::<Answer>::Granted(claim)))))
             }
-            OfKeys::Served { .. } => Some(("served", None)),
+            KeyMessage::Served { .. } => Some(("served", None)),
             _ => None,
         };
     }
-    match (message.kind == TAKEOVER_MESSAGES).then(|| of_work(&message.body))? {
-        OfWork::Accept {
+    match (message.kind == TAKEOVER_MESSAGES).then(|| decode_work_message(&message.body))? {
+        WorkMessage::Accept {
             work_id: id,
             ballot,
             ..
         } => Some((
             "going",
-            Some(encode(&OfWork::Accepted {
+            Some(encode(&WorkMessage::Accepted {
                 work_id: id,
                 ballot,
             })),
         )),
-        OfWork::Completed(id) => Some(("over", Some(encode(&OfWork::CompletionAcknowledged(id))))),
+        WorkMessage::Completed(id) => Some((
+            "over",
+            Some(encode(&WorkMessage::CompletionAcknowledged(id))),
+        )),
         _ => None,
     }
 }
@@ -217,17 +223,17 @@
     postcard::to_allocvec(value).expect("encoded")
 }
 
-fn of_keys(body: &[u8]) -> OfKeys<Answer> {
+fn decode_key_message(body: &[u8]) -> KeyMessage<Answer> {
     postcard::from_bytes(body).expect("a message about keys")
 }
 
-fn of_work(body: &[u8]) -> OfWork {
+fn decode_work_message(body: &[u8]) -> WorkMessage {
     postcard::from_bytes(body).expect("a message about work")
 }
 
 fn accept_request(message: &ReceivedMessage) -> Option<(WorkId, Ballot)> {
-    match (message.kind == TAKEOVER_MESSAGES).then(|| of_work(&message.body))? {
-        OfWork::Accept {
+    match (message.kind == TAKEOVER_MESSAGES).then(|| decode_work_message(&message.body))? {
+        WorkMessage::Accept {
             work_id: id,
             ballot,
             ..
@@ -259,9 +265,9 @@
     find(recorded_lines("peers.txt", write_messages), name)
 }
 
-fn encoded_work(going: &[u8]) -> (Work, FirstAttempt) {
-    match of_work(going) {
-        OfWork::Accept {
+fn decode_work(going: &[u8]) -> (Work, FirstAttempt) {
+    match decode_work_message(going) {
+        WorkMessage::Accept {
             work,
             first_attempt,
             ..
@@ -270,40 +276,40 @@
     }
 }
 
-fn encoded_request(going: &[u8]) -> EncodedRequest {
-    postcard::from_bytes(&encoded_work(going).0.payload).expect("a request")
+fn decode_request(going: &[u8]) -> EncodedRequest {
+    postcard::from_bytes(&decode_work(going).0.payload).expect("a request")
 }
 
 fn claim_of(wants: &[u8]) -> Claim {
-    match of_keys(wants) {
-        OfKeys::Request { claim, .. } => claim,
+    match decode_key_message(wants) {
+        KeyMessage::Request { claim, .. } => claim,
         other => panic!("{other:?}"),
     }
 }
 
 /// A message about keys, with this claim and a fixed time in place of those that differ in each run.
-fn at_claim(body: &[u8], now: Claim) -> OfKeys<Answer> {
-    match of_keys(body) {
-        OfKeys::Request {
+fn with_claim(body: &[u8], new_claim: Claim) -> KeyMessage<Answer> {
+    match decode_key_message(body) {
+        KeyMessage::Request {
             customer,
             key,
             fingerprint,
             ..
-        } => OfKeys::Request {
-            claim: now,
+        } => KeyMessage::Request {
+            claim: new_claim,
             customer,
             key,
             fingerprint,
             within: 0.0,
         },
-        OfKeys::Served {
+        KeyMessage::Served {
             customer,
             key,
             fingerprint,
             answer,
             ..
-        } => OfKeys::Served {
-            claim: now,
+        } => KeyMessage::Served {
+            claim: new_claim,
             customer,
             key,
             fingerprint,
@@ -317,7 +323,11 @@
 fn every_recorded_message_about_keys_is_encoded_to_the_same_bytes() {
     for name in ["wants", "served"] {
         let body = recorded(name);
-        assert_eq!(hex(&encode(&of_keys(&body))), hex(&body), "{name}");
+        assert_eq!(
+            hex(&encode(&decode_key_message(&body))),
+            hex(&body),
+            "{name}"
+        );
     }
 }
 
@@ -325,11 +335,15 @@
 fn every_recorded_message_about_work_is_encoded_to_the_same_bytes() {
     for name in ["going", "over"] {
         let body = recorded(name);
-        assert_eq!(hex(&encode(&of_work(&body))), hex(&body), "{name}");
+        assert_eq!(
+            hex(&encode(&decode_work_message(&body))),
+            hex(&body),
+            "{name}"
+        );
     }
-    let (work, _) = encoded_work(&recorded("going"));
+    let (work, _) = decode_work(&recorded("going"));
     assert_eq!(
-        hex(&encode(&encoded_request(&recorded("going")))),
+        hex(&encode(&decode_request(&recorded("going")))),
         hex(&work.payload)
     );
 }
@@ -347,7 +361,7 @@
         set_first,
         key,
         ..
-    } = encoded_request(&recorded("going"));
+    } = decode_request(&recorded("going"));
     assert_eq!(
         (method.as_str(), uri.as_str(), body.as_slice()),
         ("POST", "/api", b"body".as_slice())
@@ -356,7 +370,7 @@
         (class, plan, units, set_size, set_first, key.as_str()),
         (1, 0, 1.0, 3, 0, "first")
     );
-    let OfKeys::Served { answer, .. } = of_keys(&recorded("served")) else {
+    let KeyMessage::Served { answer, .. } = decode_key_message(&recorded("served")) else {
         panic!("not served")
     };
     let expected = Answer::Served {
@@ -366,21 +380,21 @@
     assert_eq!(answer, expected);
 }
 
-/// Except for claims, incarnations and times, which differ in each run.
+/// Claims, incarnations and times are not compared, as they differ in each run.
 #[test]
 fn a_limiters_messages_to_its_peers_equal_the_recorded_ones() {
     let messages = write_messages();
     for name in ["wants", "served"] {
         let (now, then) = (find(messages.clone(), name), recorded(name));
         assert_eq!(
-            at_claim(&now, Claim(1)),
-            at_claim(&then, Claim(1)),
+            with_claim(&now, Claim(1)),
+            with_claim(&then, Claim(1)),
             "{name}"
         );
     }
     assert_eq!(
-        encoded_request(&find(messages, "going")),
-        encoded_request(&recorded("going"))
+        decode_request(&find(messages, "going")),
+        decode_request(&recorded("going"))
     );
 }
 
@@ -391,12 +405,12 @@
     let claim = claim_of(&wants);
     site.peers[0].send(KEY_MESSAGES, wants);
     site.next(0, |message| {
-        (message.body == encode(&OfKeys::<Answer>::Granted(claim))).then_some(())
+        (message.body == encode(&KeyMessage::<Answer>::Granted(claim))).then_some(())
     });
     site.peers[0].send(KEY_MESSAGES, recorded("served"));
     let started = Instant::now();
     let replayed = loop {
-        assert!(started.elapsed() < LONG, "never replayed");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "never replayed");
         let answer = Message::read(&site.ask("first")).expect("an answer");
         if answer.status() == 200 {
             break answer;
@@ -418,7 +432,7 @@
     let claim = claim_of(&wants);
     site.peers[0].send(KEY_MESSAGES, wants);
     site.next(0, |message| {
-        (message.body == encode(&OfKeys::<Answer>::Granted(claim))).then_some(())
+        (message.body == encode(&KeyMessage::<Answer>::Granted(claim))).then_some(())
     });
     let id = WorkId {
         claimant: Member(1),
@@ -429,11 +443,11 @@
         round: 0,
         proposer: Member(1),
     };
-    let (work, first_attempt) = encoded_work(&recorded("going"));
+    let (work, first_attempt) = decode_work(&recorded("going"));
     let acceptor_incarnation = site.peers[0].limiter_incarnation();
     site.peers[0].send(
         TAKEOVER_MESSAGES,
-        encode(&OfWork::Accept {
+        encode(&WorkMessage::Accept {
             work_id: id,
             ballot,
             acceptor_incarnation,
@@ -443,7 +457,7 @@
     );
     site.next(0, |message| {
         (message.body
-            == encode(&OfWork::Accepted {
+            == encode(&WorkMessage::Accepted {
                 work_id: id,
                 ballot,
             }))
@@ -451,9 +465,9 @@
     });
     site.peers[0].stop();
     let prepared = |message: &ReceivedMessage| match (message.kind == TAKEOVER_MESSAGES)
-        .then(|| of_work(&message.body))?
+        .then(|| decode_work_message(&message.body))?
     {
-        OfWork::Prepare {
+        WorkMessage::Prepare {
             work_id: of,
             ballot,
             ..
@@ -463,7 +477,7 @@
     let (_, higher) = site.next(1, prepared);
     site.peers[1].send(
         TAKEOVER_MESSAGES,
-        encode(&OfWork::Promise {
+        encode(&WorkMessage::Promise {
             work_id: id,
             ballot: higher,
             accepted: None,
@@ -475,7 +489,7 @@
     });
     site.peers[1].send(
         TAKEOVER_MESSAGES,
-        encode(&OfWork::Accepted {
+        encode(&WorkMessage::Accepted {
             work_id: id,
             ballot: accepted_ballot,
         }),
@@ -488,13 +502,13 @@
     );
 }
 
-/// A message about endpoint lists, and the name of the list service that it refers to.
-fn of_lists(body: &[u8]) -> (String, ListMessage) {
+/// A message about endpoint lists, and the name of the discovery service that it refers to.
+fn decode_list_message(body: &[u8]) -> (String, ListMessage) {
     postcard::from_bytes(body).expect("a message about lists")
 }
 
 fn heartbeat(message: &ReceivedMessage) -> Option<WatcherHeartbeat> {
-    match (message.kind == LIST_MESSAGES).then(|| of_lists(&message.body))? {
+    match (message.kind == LIST_MESSAGES).then(|| decode_list_message(&message.body))? {
         (_, ListMessage::Heartbeat(heartbeat)) => Some(heartbeat),
         _ => None,
     }
@@ -502,18 +516,21 @@
 
 fn list(message: &ReceivedMessage) -> Option<()> {
     (message.kind == LIST_MESSAGES
-        && matches!(of_lists(&message.body), (_, ListMessage::List { .. })))
+        && matches!(
+            decode_list_message(&message.body),
+            (_, ListMessage::List { .. })
+        ))
     .then_some(())
 }
 
 fn list_request(message: &ReceivedMessage) -> Option<ListVersion> {
-    match (message.kind == LIST_MESSAGES).then(|| of_lists(&message.body))? {
+    match (message.kind == LIST_MESSAGES).then(|| decode_list_message(&message.body))? {
         (_, ListMessage::Request { version }) => Some(version),
         _ => None,
     }
 }
 
-/// The messages that a limiter with a list from the list service sends to a peer that requests it.
+/// The messages that a limiter with a list from the discovery service sends to a peer that requests it.
 fn write_lists() -> Vec<Recorded> {
     let site = Site::start();
     site.limiter
@@ -532,7 +549,7 @@
 
 fn recorded_lists(name: &str) -> (String, ListMessage, Vec<u8>) {
     let body = find(recorded_lines("peers-lists.txt", write_lists), name);
-    let (service, message) = of_lists(&body);
+    let (service, message) = decode_list_message(&body);
     (service, message, body)
 }
 
@@ -582,7 +599,7 @@
     let started = Instant::now();
     while moved.is_quiet() {
         assert!(
-            started.elapsed() < LONG,
+            started.elapsed() < WAIT_TIMEOUT,
             "never sent to the recorded list's endpoint"
         );
         drop(site.limiter.ask(&request("look", "1", "wide", 30.0)));
--- a/crates/emberpin-limiter/tests/recorded_upgrade.rs
+++ b/crates/emberpin-limiter/tests/recorded_upgrade.rs
@@ -33,16 +33,16 @@
     gateway: Handover,
 }
 
-/// The updates that both processes send each other; a copy as well.
+/// The updates that both processes send each other; also a copy of the limiter's own type.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-enum Shared {
-    Spent(Usage),
-    Order { server: String, out: bool },
-    Held(Held),
+enum Update {
+    Usage(Usage),
+    Maintenance { server: String, out: bool },
+    SocketCounts(SocketCounts),
 }
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-struct Held {
+struct SocketCounts {
     clients: usize,
     servers: usize,
 }
@@ -124,7 +124,7 @@
     fn wait_for_log(&self, text: &str) {
         let started = Instant::now();
         while !self.log().contains(text) {
-            assert!(started.elapsed() < LONG, "never logged: {text}");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "never logged: {text}");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -155,7 +155,7 @@
     /// state.
     fn connect_as_successor(&self) -> (UnixStream, Vec<u8>) {
         let mut stream = UnixStream::connect(self.handover_path()).expect("connects");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
         stream.write_all(&frame::encode_hello()).expect("sent");
         let state = read_frame(&mut stream);
         (stream, state)
@@ -175,7 +175,7 @@
         });
         self.start();
         let stream = handing_over.join().expect("a state");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
         stream
     }
 }
@@ -188,20 +188,23 @@
     [head.to_vec(), body].concat()
 }
 
-fn decode(bytes: &[u8]) -> frame::Message<Shared> {
+fn decode(bytes: &[u8]) -> frame::Message<Update> {
     let (head, body) = bytes.split_first_chunk::<HEADER_LEN>().expect("a head");
     frame::decode(head, body).expect("a message")
 }
 
-fn encode(shared: Shared) -> Vec<u8> {
-    frame::encode(&frame::Message::Update(shared)).expect("encoded")
+fn encode(update: Update) -> Vec<u8> {
+    frame::encode(&frame::Message::Update(update)).expect("encoded")
 }
 
 /// Reads the next frame that is not a report of connection counts.
 fn next_update(stream: &mut UnixStream) -> Vec<u8> {
     loop {
         let bytes = read_frame(stream);
-        if !matches!(decode(&bytes), frame::Message::Update(Shared::Held(_))) {
+        if !matches!(
+            decode(&bytes),
+            frame::Message::Update(Update::SocketCounts(_))
+        ) {
             return bytes;
         }
     }
@@ -232,7 +235,7 @@
     let held = read_frame(&mut stream);
     assert!(matches!(
         decode(&held),
-        frame::Message::Update(Shared::Held(_))
+        frame::Message::Update(Update::SocketCounts(_))
     ));
     site.send_command("/ops/servers/down/s-2");
     let order = next_update(&mut stream);
@@ -269,7 +272,7 @@
         hex(&postcard::to_allocvec(&state).expect("encoded")),
         hex(&body)
     );
-    let again = frame::encode::<Shared>(&frame::Message::State(body)).expect("short enough");
+    let again = frame::encode::<Update>(&frame::Message::State(body)).expect("short enough");
     assert_eq!(hex(&again), hex(&recorded));
 }
 
@@ -277,10 +280,10 @@
 fn the_recorded_updates_are_decoded_and_encoded_unchanged() {
     for name in ["held", "order", "spent"] {
         let recorded = recorded_update(name);
-        let frame::Message::Update(shared) = decode(&recorded) else {
+        let frame::Message::Update(update) = decode(&recorded) else {
             panic!("{name} is not an update")
         };
-        assert_eq!(hex(&encode(shared)), hex(&recorded), "{name}");
+        assert_eq!(hex(&encode(update)), hex(&recorded), "{name}");
     }
 }
 
@@ -297,7 +300,7 @@
     }
     state.targets = targets.to_string().into_bytes();
     let body = postcard::to_allocvec(&state).expect("encoded");
-    frame::encode::<Shared>(&frame::Message::State(body)).expect("short enough")
+    frame::encode::<Update>(&frame::Message::State(body)).expect("short enough")
 }
 
 #[test]
@@ -308,7 +311,7 @@
     assert!(
         matches!(
             decode(&read_frame(&mut stream)),
-            frame::Message::Update(Shared::Held(_))
+            frame::Message::Update(Update::SocketCounts(_))
         ),
         "it has taken over"
     );
@@ -319,7 +322,11 @@
         site.servers[1].is_quiet(),
         "an operator took it out of service in the recorded process"
     );
-    assert!(!site.log().contains("as after a kill"), "{}", site.log());
+    assert!(
+        !site.log().contains("starting with fresh state"),
+        "{}",
+        site.log()
+    );
 }
 
 #[test]
--- a/crates/emberpin-limiter/tests/upgrade.rs
+++ b/crates/emberpin-limiter/tests/upgrade.rs
@@ -127,8 +127,9 @@
             .ask(&request(class, id, plan, 30.0).replace("00000001b4d65521", account))
     }
 
-    /// Makes the first process observe that the whole group starts together, as it then begins with full hard bursts.
-    /// Uses one unit of the burst.
+    /// Fills the hard bursts of the first process: a limiter starts with full hard bursts if its whole group starts at
+    /// the same time, so the test sends the greeting of a peer that has just started. It repeats that until a request
+    /// is admitted, which uses one unit of the burst.
     fn fill_hard_bursts(&self, server: &Listener) {
         let at = self.limiter.config["peer_listen"]
             .as_str()
@@ -141,7 +142,7 @@
         let started = Instant::now();
         for number in 0.. {
             assert!(
-                started.elapsed() < LONG,
+                started.elapsed() < WAIT_TIMEOUT,
                 "the group was not observed to start together"
             );
             self.limiter.peer.send_to(&hello, &at).expect("sent");
@@ -155,7 +156,7 @@
     fn is_admitted(&self, server: &Listener, id: &str) -> bool {
         let client = self.ask("look", id, "narrow");
         let started = Instant::now();
-        while started.elapsed() < LONG {
+        while started.elapsed() < WAIT_TIMEOUT {
             if let Some(mut message) = server.poll() {
                 message.answer("200 OK", "", "");
                 assert_eq!(Message::read(&client).expect("an answer").status(), 200);
@@ -190,7 +191,7 @@
     /// Calls the operators' interface; returns the status, or `None` if it does not answer.
     fn call(&self, method: &str, path: &str) -> Option<u16> {
         let mut stream = TcpStream::connect(self.ops).ok()?;
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
         stream
             .write_all(format!("{method} {path} HTTP/1.1\r\nHost: s\r\n\r\n").as_bytes())
             .ok()?;
@@ -220,7 +221,7 @@
                 assert!(status.success(), "{status}: {}", self.log());
                 return;
             }
-            assert!(started.elapsed() < LONG, "does not exit in time");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "does not exit in time");
             std::thread::sleep(std::time::Duration::from_millis(5));
         }
     }
@@ -253,7 +254,7 @@
 }
 
 #[test]
-fn out_of_service_marks_hard_bursts_and_requests_in_flight_survive_two_upgrades() {
+fn operator_commands_hard_bursts_and_in_flight_requests_survive_two_upgrades() {
     let (one, other, list) = servers();
     let mut site = Site::new(&list);
     let mut old = site.start();
@@ -331,21 +332,21 @@
 }
 
 #[test]
-fn whatever_is_at_the_handover_path_a_process_starts_in_time_as_after_a_kill() {
+fn a_process_starts_in_time_without_state_if_the_handover_fails() {
     let (one, _other, list) = servers();
     let mut site = Site::new(&list[..1]);
     let handover_path = site.folder.join("emberpin.handover");
-    // A socket without a listener, then a regular file, then a program that accepts connections and sends nothing.
+    // A socket file without a listener, then a regular file, then a program that accepts connections and sends nothing.
     drop(UnixListener::bind(&handover_path).expect("bound"));
     let first = site.start();
     site.check_served_by(&one, "a", "wide");
     drop(first);
-    std::fs::remove_file(&handover_path).expect("there");
+    std::fs::remove_file(&handover_path).expect("the handover path exists");
     std::fs::write(&handover_path, "torn").expect("written");
     let second = site.start();
     site.check_served_by(&one, "b", "wide");
     drop(second);
-    std::fs::remove_file(&handover_path).expect("there");
+    std::fs::remove_file(&handover_path).expect("the handover path exists");
     let silent = UnixListener::bind(&handover_path).expect("bound");
     let third = site.start();
     site.check_served_by(&one, "c", "wide");
@@ -361,7 +362,7 @@
     });
     let fourth = site.start();
     sending.join().expect("sent");
-    assert!(fourth.kill().contains("starting as after a kill"));
+    assert!(fourth.kill().contains("starting with fresh state"));
     // A process that exits in the middle of the handover.
     _ = std::fs::remove_file(&handover_path);
     let exiting = UnixListener::bind(&handover_path).expect("bound");
@@ -370,12 +371,12 @@
         stream.read_exact(&mut [0; 10]).expect("a hello");
         stream
             .write_all(&[200, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7])
-            .expect("half of it");
+            .expect("an incomplete frame is sent");
     });
     let fifth = site.start();
     handing_over.join().expect("handed over");
     site.check_served_by(&one, "d", "wide");
-    assert!(fifth.kill().contains("starting as after a kill"));
+    assert!(fifth.kill().contains("starting with fresh state"));
 }
 
 #[test]
@@ -408,7 +409,7 @@
     let started = Instant::now();
     while UdpSocket::bind(peer_listen).is_ok() {
         assert!(
-            started.elapsed() < LONG,
+            started.elapsed() < WAIT_TIMEOUT,
             "the old process did not open its port again"
         );
         std::thread::sleep(std::time::Duration::from_millis(5));
@@ -443,7 +444,7 @@
 }
 
 #[test]
-fn a_process_that_drains_already_still_hands_over() {
+fn a_draining_process_still_hands_over_its_state() {
     let (one, other, list) = servers();
     let mut site = Site::new(&list);
     let mut old = site.start();
@@ -454,7 +455,7 @@
     // No longer ready, but it still has a request to answer.
     let started = Instant::now();
     while old.is_ready() {
-        assert!(started.elapsed() < LONG);
+        assert!(started.elapsed() < WAIT_TIMEOUT);
     }
     let new = site.start();
     at_server.answer("200 OK", "", "");
@@ -467,8 +468,8 @@
     drop(new);
 }
 
-/// 120 clients of the old process reconnect to the new one, which must have slots for all of them at once: more than
-/// half of all slots.
+/// 120 clients of the old process reconnect to the new one, which must accept all of them at once. They need more than
+/// half of the limiter's slots for client connections, so a fixed half for each process would not do.
 #[test]
 fn the_old_processs_clients_find_slots_at_the_new_one() {
     let server = Listener::start();
