--- a/crates/emberpin-simulator/src/generator/dense/faults.rs
+++ b/crates/emberpin-simulator/src/generator/dense/faults.rs
@@ -1,7 +1,7 @@
 //! The faults of a dense scenario.
 
 use super::super::names_of;
-use super::{DenseScenario, SYNC_TIME_MS};
+use super::{DenseScenario, CATCH_UP_MS};
 
 /// Replacements stop when the next machine's number would be above this.
 const MAX_CORE: u8 = 60;
@@ -48,7 +48,7 @@
             self.add_step_at(again, format!("kill core-{core}"));
             self.add_step_at(again + 200, format!("start core-{core}"));
             self.unavailable_until
-                .insert(core, again + 200 + SYNC_TIME_MS);
+                .insert(core, again + 200 + CATCH_UP_MS);
         }
     }
 
@@ -164,7 +164,7 @@
         // All machines were down, so all count as unavailable.
         for core in all {
             let until = self.unavailable_until.entry(core).or_default();
-            *until = (return_at + SYNC_TIME_MS).max(*until);
+            *until = (return_at + CATCH_UP_MS).max(*until);
         }
         self.now_ms += MAX_RESTART_OF_ALL_MS;
     }
--- a/crates/emberpin-simulator/src/generator/dense/mod.rs
+++ b/crates/emberpin-simulator/src/generator/dense/mod.rs
@@ -1,7 +1,7 @@
 //! Generates dense scenarios: several kinds of faults at once and repeated, over hundreds of changes.
 //!
 //! At most `tolerance` machines are unavailable at once. A machine is unavailable while it is down, frozen, slowed or
-//! partitioned, and for [`SYNC_TIME_MS`] after that; a replaced machine is unavailable until its successor has had that
+//! partitioned, and for [`CATCH_UP_MS`] after that; a replaced machine is unavailable until its successor has had that
 //! time. As an exception, all machines may be killed or lose power at the same time, and are started again within a
 //! second.
 
@@ -18,8 +18,8 @@
 
 /// Makes the random numbers of a dense scenario differ from those of the seed's wide scenario.
 const SEED_MASK: u128 = 0xde_0000;
-/// `sync_time`: for how long a machine counts as unavailable after its return.
-const SYNC_TIME_MS: u64 = 4_000;
+/// For how long a machine counts as unavailable after its return, while it catches up (`sync_time`).
+const CATCH_UP_MS: u64 = 4_000;
 /// Percentage of the draws in a fault period that add a step of a server.
 const SERVER_PERCENT: u64 = 8;
 
@@ -134,8 +134,7 @@
         }
         let available = self.available_cores();
         let core = available[self.draw_below(available.len() as u64) as usize];
-        self.unavailable_until
-            .insert(core, return_at + SYNC_TIME_MS);
+        self.unavailable_until.insert(core, return_at + CATCH_UP_MS);
         Some(core)
     }
 
@@ -227,7 +226,7 @@
 }
 
 /// Generates a scenario with faults in the middle of rounds; `number` selects the pair of message kind and fault.
-pub(super) fn generate_targeted(seed: u64, number: u64) -> String {
+pub(super) fn generate_mid_round_faults(seed: u64, number: u64) -> String {
     let mut dense = first_configuration(seed, &[1, 2, 2]);
     dense.add_targeted_rounds(number);
     dense.text(seed)
--- a/crates/emberpin-simulator/src/generator/dense/servers.rs
+++ b/crates/emberpin-simulator/src/generator/dense/servers.rs
@@ -36,14 +36,14 @@
         }
     }
 
-    fn start_server(&mut self, at: u64, address: u64) {
+    fn start_server(&mut self, at: u64, port: u64) {
         let (number, service) = (self.servers, self.draw_below(SERVICE_COUNT));
         self.servers += 1;
         let zone = ZONES[self.draw_below(ZONES.len() as u64) as usize];
         let cold = if self.chance(40) { " cold=3s" } else { "" };
         self.add_step_at(
             at,
-            format!("server s{number} up svc=a{service} zone={zone} addr={address}{cold}"),
+            format!("server s{number} up svc=a{service} zone={zone} addr={port}{cold}"),
         );
     }
 }
--- a/crates/emberpin-simulator/src/generator/dense/targeted.rs
+++ b/crates/emberpin-simulator/src/generator/dense/targeted.rs
@@ -5,7 +5,7 @@
 //! Consecutive scenario numbers cycle through all pairs of a message kind and a fault, so that each pair is covered.
 
 use super::super::{names_of, ROSTER_COMPLETE_MS, ROSTER_MS_PER_MACHINE};
-use super::{DenseScenario, SYNC_TIME_MS};
+use super::{DenseScenario, CATCH_UP_MS};
 use std::ops::Range;
 
 /// The kinds of messages between stores that a scenario can lose.
@@ -21,9 +21,9 @@
 const ROSTER_CHANGE: &str = "seats";
 /// The approximate time from a replacement to the change of the roster, in milliseconds: the new machine listens first.
 const ROSTER_CHANGE_DELAY_MS: Range<u64> = 2_200..2_700;
-/// The time for which messages are lost is at most this: some rounds.
+/// Messages are lost for at most this time, in which several rounds begin.
 const MAX_LOSS_MS: u64 = 700;
-/// As [`MAX_LOSS_MS`], for losses during a roster change: some attempts to change the roster.
+/// Like [`MAX_LOSS_MS`], for losses during a roster change: time for several attempts to change the roster.
 const MAX_ROSTER_CHANGE_LOSS_MS: u64 = 2_000;
 /// The faults that are injected during a round.
 const FAULTS: [TargetedFault; 9] = [
@@ -69,7 +69,7 @@
         self.add_step("network delay 1ms..5ms late 1% twice 1%".into());
         for _ in 0..ROUND_COUNT {
             self.add_round_with_fault(kind, fault);
-            let pause = self.draw_between(300, SYNC_TIME_MS + 1_500);
+            let pause = self.draw_between(300, CATCH_UP_MS + 1_500);
             self.add_fault_free_period(pause);
         }
     }
@@ -110,7 +110,7 @@
         if let Some(joining) = joining {
             // A machine that could not join because of lost messages counts as unavailable, like a partitioned one.
             let until = self.unavailable_until.entry(joining).or_default();
-            *until = (self.now_ms + SYNC_TIME_MS).max(*until);
+            *until = (self.now_ms + CATCH_UP_MS).max(*until);
         }
         if self.chance(60) {
             // A call at any machine, which may come before the fault ends.
@@ -154,7 +154,7 @@
         let is_free = self.available_cores().contains(&proposer);
         let core = if at_proposer && is_free && self.unavailable_count() < self.tolerance {
             self.unavailable_until
-                .insert(proposer, return_at + SYNC_TIME_MS);
+                .insert(proposer, return_at + CATCH_UP_MS);
             Some(proposer)
         } else {
             self.choose_core_for_fault(return_at)
@@ -171,8 +171,9 @@
         let until = self.now_ms + self.draw_between(100, 4_000);
         self.add_step(format!("cut{first_half} |{second_half}"));
         self.add_step_at(until, format!("heal{first_half}{second_half}"));
-        // No disk may be lost until state that was lost before the partition has been restored.
-        self.mark_all_unavailable(until + SYNC_TIME_MS);
+        // A machine that lost its disk before the partition may be able to catch up only after it. Until then, no other
+        // disk may be lost.
+        self.mark_all_unavailable(until + CATCH_UP_MS);
     }
 
     /// Marks all machines unavailable until this time, so that no other fault is injected before.
@@ -192,7 +193,7 @@
         }
         let return_at = self.now_ms + self.draw_between(50, 1_000);
         self.add_step_at(return_at, format!("start{}", names_of(&all)));
-        self.mark_all_unavailable(return_at + SYNC_TIME_MS);
+        self.mark_all_unavailable(return_at + CATCH_UP_MS);
         self.now_ms = return_at;
     }
 
@@ -201,7 +202,7 @@
     pub(super) fn add_replacements(&mut self) {
         for _ in 0..self.draw_between(2, 5) {
             self.replace();
-            let pause = SYNC_TIME_MS + self.draw_below(26_000);
+            let pause = CATCH_UP_MS + self.draw_below(26_000);
             let end = self.now_ms + pause;
             if self.chance(30) {
                 self.now_ms += self.draw_below(pause);
--- a/crates/emberpin-simulator/src/generator/mod.rs
+++ b/crates/emberpin-simulator/src/generator/mod.rs
@@ -1,5 +1,8 @@
-//! Generates scenarios from seeds: random faults within the stores' tolerance (`wide` and `dense`), and variations of
-//! the recorded scenarios (`variations`).
+//! Generates scenarios from seeds. Three modules generate them in different ways:
+//!
+//! - `wide`: many machines, with periods of faults that may hit all of them, and fault-free periods in between;
+//! - `dense`: fewer machines and longer runs, with overlapping faults of at most as many machines as are tolerated;
+//! - `variations`: the recorded scenarios, with small changes.
 
 mod dense;
 mod variations;
@@ -9,13 +12,14 @@
 const KIND_COUNT: u64 = 8;
 /// The zones of generated scenarios.
 const ZONES: [&str; 3] = ["z1", "z2", "z3"];
-/// When the roster contains the initial machines, in milliseconds; see [`ROSTER_MS_PER_MACHINE`].
+/// The base of the time at which all initial machines are on the roster, in milliseconds. [`ROSTER_MS_PER_MACHINE`] is
+/// added for each of them.
 const ROSTER_COMPLETE_MS: u64 = 8_000;
-/// How much later the roster is complete per initial machine, in milliseconds.
+/// By how much each initial machine delays the complete roster, in milliseconds.
 const ROSTER_MS_PER_MACHINE: u64 = 500;
-/// The number of services that patches and servers choose from.
+/// The number of services that operators configure and servers offer.
 const SERVICE_COUNT: u64 = 3;
-/// The number of routes that patches choose from.
+/// The number of routes that operators configure.
 const ROUTE_COUNT: u64 = 4;
 
 /// Generates the text of a seed's scenario. The same seed always gives the same text.
@@ -26,9 +30,9 @@
         }
         0 | 3 => wide::generate(seed),
         1 | 4 => dense::generate(seed),
-        2 => dense::generate_targeted(seed, 3 * (seed / KIND_COUNT)),
-        5 => dense::generate_targeted(seed, 3 * (seed / KIND_COUNT) + 1),
-        7 => dense::generate_targeted(seed, 3 * (seed / KIND_COUNT) + 2),
+        2 => dense::generate_mid_round_faults(seed, 3 * (seed / KIND_COUNT)),
+        5 => dense::generate_mid_round_faults(seed, 3 * (seed / KIND_COUNT) + 1),
+        7 => dense::generate_mid_round_faults(seed, 3 * (seed / KIND_COUNT) + 2),
         _ => dense::generate_replacements(seed),
     }
 }
--- a/crates/emberpin-simulator/src/generator/wide.rs
+++ b/crates/emberpin-simulator/src/generator/wide.rs
@@ -19,7 +19,7 @@
 const MAX_SERVERS: u32 = 12;
 /// The first server's port.
 const FIRST_PORT: u32 = 2_000;
-/// The highest number that a machine gets in a replacement.
+/// Replacements stop when the next machine's number would be this.
 const MAX_CORE: u8 = 40;
 
 /// A wide scenario while it is generated.
--- a/crates/emberpin-simulator/src/mutants.rs
+++ b/crates/emberpin-simulator/src/mutants.rs
@@ -105,7 +105,8 @@
         match mutant {
             // Otherwise a call at a partitioned machine fails before it can take effect late.
             "no-precondition" => self.consensus.contact_check = false,
-            // Otherwise a request without a version would use its registry's version, which also predates the pause.
+            // Otherwise a request without a version would use the version that its registry knows. After a freeze, that
+            // one is as old as the request.
             "no-told-version" => self.consensus.evacuation_precondition = false,
             "no-returned" => self.membership.warmup_after_evacuation = false,
             // Either check prevents a roster from staying at four members of which one is permanently gone.
--- a/crates/emberpin-simulator/src/search.rs
+++ b/crates/emberpin-simulator/src/search.rs
@@ -53,8 +53,8 @@
     }
 
     /// The seed at this index, counted from 0; `None` after the last seed.
-    fn get(self, number: u64) -> Option<u64> {
-        (number < self.count).then(|| self.first + number * self.step)
+    fn get(self, index: u64) -> Option<u64> {
+        (index < self.count).then(|| self.first + index * self.step)
     }
 }
 
--- a/crates/emberpin-simulator/src/simulation/contact.rs
+++ b/crates/emberpin-simulator/src/simulation/contact.rs
@@ -1,4 +1,4 @@
-//! Determines whether a proxy is in contact, so that time limits apply to it.
+//! Determines whether a proxy is in contact with the core machines: time limits apply to it only then.
 
 use super::Simulation;
 use crate::machine::{CoreId, Machine, ProxyId};
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 impl Simulation {
-    /// Whether a proxy has been in contact for the bound `contact`: it runs, no fault has affected it or the core
+    /// Whether a proxy has been in contact for at least [`CONTACT`]: it runs, no fault has affected it or the core
     /// machines in this time, and it can reach each core machine that can reach a majority.
     pub(super) fn is_in_contact(&self, proxy: ProxyId) -> bool {
         let node = self.proxies.get(&proxy);
@@ -28,7 +28,7 @@
                 .all(|core| self.has_healthy_link(Machine::Proxy(proxy), Machine::Core(*core)))
     }
 
-    /// Whether a fault affected a process within the bound `contact`.
+    /// Whether a fault affected a process within the last [`CONTACT`].
     fn was_disturbed(&self, process: &Process) -> bool {
         !process.disturbed_at.is_zero() && self.now < process.disturbed_at + CONTACT
     }
--- a/crates/emberpin-simulator/src/simulation/effects.rs
+++ b/crates/emberpin-simulator/src/simulation/effects.rs
@@ -11,8 +11,8 @@
 use emberpin_routing::Availability;
 use std::time::Duration;
 
-/// An evacuation is not checked if a call to end it was sent or ended less than this before its acknowledgement, or
-/// later.
+/// The effect of an evacuation is checked only if each call to end it was sent, and answered if at all, at least this
+/// long before the evacuation was acknowledged.
 const EVACUATION_OVERLAP: Duration = Duration::from_millis(1_000);
 
 impl Simulation {
--- a/crates/emberpin-simulator/src/simulation/final_checks.rs
+++ b/crates/emberpin-simulator/src/simulation/final_checks.rs
@@ -128,7 +128,7 @@
                 .filter(|item| self.record.was_chosen(item))
             {
                 if !is_requested_otherwise(item) {
-                    return Err(Violation::RejectedInForce {
+                    return Err(Violation::RejectedItemChosen {
                         key: item.key.clone(),
                         version: item.version,
                     });
--- a/crates/emberpin-simulator/src/simulation/mod.rs
+++ b/crates/emberpin-simulator/src/simulation/mod.rs
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Lets time pass until then, unless something goes wrong.
+    /// Handles the events up to `until`, and stops at the first violation.
     pub fn run_until(&mut self, until: Duration) {
         while self.violation.is_none() {
             let next = self.queue.first_entry();
--- a/crates/emberpin-simulator/src/state/network.rs
+++ b/crates/emberpin-simulator/src/state/network.rs
@@ -68,8 +68,7 @@
         self.caller == machine || self.callee == machine
     }
 
-    /// Returns when a frame arrives that would arrive at `at` on its own: not before the previous frame in its
-    /// direction.
+    /// The arrival time of a frame that is due at `at`: no earlier than that of the previous frame in its direction.
     pub fn order_arrival(&mut self, direction: Direction, at: Duration) -> Duration {
         let latest = match direction {
             Direction::ToCallee => &mut self.last_arrival_at_callee,
--- a/crates/emberpin-simulator/src/violation.rs
+++ b/crates/emberpin-simulator/src/violation.rs
@@ -97,7 +97,7 @@
     },
     /// An item of a rejected call was chosen.
     #[error("rejected but chosen: {key:?} {version}")]
-    RejectedInForce {
+    RejectedItemChosen {
         /// Kind and name of the item.
         key: ItemKey,
         /// The version that the rejected call gave it.
