--- a/crates/emberpin-consensus/tests/bootstrap.rs
+++ b/crates/emberpin-consensus/tests/bootstrap.rs
@@ -11,9 +11,9 @@
 /// Time limit of the bootstrap once all seeds run, in milliseconds: some round trips and two syncs.
 const MAX_BOOTSTRAP_TIME: u64 = 150;
 
-fn all_vote(cluster: &Cluster, hosts: u8) -> bool {
-    let is_voter = |host| cluster.replica(ip(host)).is_some_and(Replica::is_voter);
-    (1..=hosts).all(is_voter)
+fn all_vote(cluster: &Cluster, machine_count: u8) -> bool {
+    let is_voter = |machine| cluster.replica(ip(machine)).is_some_and(Replica::is_voter);
+    (1..=machine_count).all(is_voter)
 }
 
 /// Creates a cluster of seeds of which none has been started.
@@ -24,11 +24,11 @@
 fn cluster_of_stopped_seeds_with(seed: u64, count: u8, guards: Guards) -> Cluster {
     let mut cluster = Cluster::new(seed, count, 1, guards);
     // Discards the bootstrap that a new cluster begins with.
-    for host in 1..=count {
-        cluster.lose_disk(ip(host));
+    for machine in 1..=count {
+        cluster.lose_disk(ip(machine));
     }
-    for host in 1..=count {
-        cluster.add_machine(ip(host));
+    for machine in 1..=count {
+        cluster.add_machine(ip(machine));
     }
     cluster.run(100);
     cluster
@@ -49,7 +49,7 @@
             expect_that!(
                 cluster.now - began,
                 le(MAX_BOOTSTRAP_TIME),
-                "seed {seed}, {count} seeds"
+                "seed {seed}, {count} machines"
             );
             cluster.heal_and_check();
             expect_that!(cluster.violation, none());
@@ -67,18 +67,18 @@
 /// Stops all processes `after` milliseconds after their start, and restarts them without `bootstrap`.
 fn interrupted_bootstrap(seed: u64, after: u64, interruption: Interruption) -> Cluster {
     let mut cluster = cluster_of_stopped_seeds(seed, 3);
-    for host in 1..=3 {
-        cluster.start(ip(host), Start::Bootstrap);
+    for machine in 1..=3 {
+        cluster.start(ip(machine), Start::Bootstrap);
     }
     cluster.run(after);
-    for host in 1..=3 {
+    for machine in 1..=3 {
         match interruption {
-            Interruption::Kill => cluster.kill(ip(host)),
-            Interruption::PowerLoss => cluster.lose_power_and_unsynced_writes(ip(host)),
+            Interruption::Kill => cluster.kill(ip(machine)),
+            Interruption::PowerLoss => cluster.lose_power_and_unsynced_writes(ip(machine)),
         }
     }
-    for host in 1..=3 {
-        cluster.start(ip(host), Start::Normal);
+    for machine in 1..=3 {
+        cluster.start(ip(machine), Start::Normal);
     }
     cluster.run_while(2_000, |cluster| !all_vote(cluster, 3));
     cluster
@@ -109,12 +109,12 @@
 /// `bootstrap`, as at any later start, with random pauses in between.
 fn bootstrap_interrupted_after_syncs_of(synced: &[u8], seed: u64, guards: Guards) -> Cluster {
     let mut cluster = cluster_of_stopped_seeds_with(seed, 3, guards);
-    for host in synced {
-        cluster.start(ip(*host), Start::Bootstrap);
+    for machine in synced {
+        cluster.start(ip(*machine), Start::Bootstrap);
     }
     cluster.run(10);
-    for host in synced {
-        cluster.lose_power_and_unsynced_writes(ip(*host));
+    for machine in synced {
+        cluster.lose_power_and_unsynced_writes(ip(*machine));
     }
     for nth in 0..3 {
         cluster.start(ip(1 + (nth + seed as u8) % 3), Start::Normal);
@@ -156,8 +156,8 @@
     for seed in 0..60 {
         // 3 is a candidate that knows no roster, 1 loses its disk, and 2 is down.
         let mut cluster = cluster_of_stopped_seeds(seed, 3);
-        for host in 1..=3 {
-            cluster.start(ip(host), Start::Bootstrap);
+        for machine in 1..=3 {
+            cluster.start(ip(machine), Start::Bootstrap);
         }
         cluster.run(7);
         cluster.kill(ip(3));
@@ -187,8 +187,8 @@
     for seed in 0..30 {
         let lost = ip(2 + (seed % 2) as u8);
         let mut cluster = cluster_of_stopped_seeds(seed, 3);
-        for host in 1..=3 {
-            cluster.start(ip(host), Start::Bootstrap);
+        for machine in 1..=3 {
+            cluster.start(ip(machine), Start::Bootstrap);
         }
         cluster.lose_power_and_unsynced_writes(lost);
         cluster.run(50);
@@ -248,18 +248,18 @@
         // name the first seed.
         cluster.add_machine(ip(4));
         cluster.node(ip(1)).delisted = true;
-        for host in [2, 3] {
-            cluster.start(ip(host), Start::Normal);
+        for machine in [2, 3] {
+            cluster.start(ip(machine), Start::Normal);
         }
         cluster.start(ip(1), Start::Bootstrap);
         cluster.run(5_000);
         expect_that!(cluster.newest_roster(), is_empty(), "seed {seed}");
         // Once the other two are started with `bootstrap` themselves, the bootstrap succeeds.
-        for host in [2, 3] {
-            cluster.kill(ip(host));
+        for machine in [2, 3] {
+            cluster.kill(ip(machine));
         }
-        for host in [2, 3] {
-            cluster.start(ip(host), Start::Bootstrap);
+        for machine in [2, 3] {
+            cluster.start(ip(machine), Start::Bootstrap);
         }
         cluster.run_while(2_000, |cluster| !all_vote(cluster, 3));
         expect_that!(all_vote(&cluster, 3), eq(true));
--- a/crates/emberpin-consensus/tests/catch_up.rs
+++ b/crates/emberpin-consensus/tests/catch_up.rs
@@ -32,10 +32,10 @@
         cluster.calls.last().and_then(ClientCall::status),
         some(eq(503))
     );
-    expect_that!(cluster.nodes[&ip(2)].disk_lost, eq(true));
+    expect_that!(cluster.nodes[&ip(2)].unrecovered_disk_loss, eq(true));
     cluster.heal_and_check();
     expect_that!(cluster.violation, none());
-    expect_that!(cluster.nodes[&ip(2)].disk_lost, eq(false));
+    expect_that!(cluster.nodes[&ip(2)].unrecovered_disk_loss, eq(false));
 }
 
 #[gtest]
@@ -53,9 +53,9 @@
     second: Option<u16>,
 }
 
-/// Of five voters, 2 has only the promise of 3, which then loses its disk and catches up from the others, at a ballot
-/// below that of 2. A call is chosen by 1, 3 and 4. Once 5 has promised too, 2 proposes another content of the same
-/// version.
+/// Of five voters, 2 begins a round and gets a promise only from 3. Then 3 loses its disk and catches up from the
+/// others, whose ballots are below that of 2. A call is chosen by 1, 3 and 4. Once 5 has promised too, 2 proposes
+/// another content of the same version.
 fn promise_of_a_disk_that_was_lost_since(guards: Guards) -> (Statuses, Cluster) {
     // Without contact checks, the call at 2 waits while 2 is in a minority.
     let guards = Guards {
@@ -80,7 +80,7 @@
     cluster.start(ip(3), Start::Normal);
     // 3 learns the roster by comparison with the others.
     cluster.hold_back = Some(|message| matches!(message, Message::Chosen(_)));
-    cluster.run_while(1_000, |cluster| cluster.nodes[&ip(3)].disk_lost);
+    cluster.run_while(1_000, |cluster| cluster.nodes[&ip(3)].unrecovered_disk_loss);
     cluster.hold_back = Some(spreads_chosen_items);
     for other in [1, 3, 4] {
         cluster.partition(ip(5), ip(other));
@@ -89,8 +89,8 @@
     cluster.run_while(1_000, |cluster| cluster.calls[first].reply.is_none());
     // 2 is connected to 3 and 5, and 1 and 4 are down.
     cluster.partitions.clear();
-    for host in [1, 4] {
-        cluster.lose_power(ip(host));
+    for machine in [1, 4] {
+        cluster.lose_power(ip(machine));
     }
     let second = cluster.call(ip(2), set_service("a", 1, 2));
     cluster.run_while(4_000, |cluster| cluster.calls[second].reply.is_none());
--- a/crates/emberpin-consensus/tests/cluster/checks.rs
+++ b/crates/emberpin-consensus/tests/cluster/checks.rs
@@ -64,9 +64,10 @@
 
     /// The voters of the newest roster that is on the disks of a majority of its voters.
     ///
-    /// An operator counts a decommissioned machine as lost until `sync_time` after the start of its replacement, and
-    /// only then may another disk be lost. These tests lose the next disk earlier, as soon as the replicas can tolerate
-    /// it: while only one replica knows a chosen roster, its disk must not be the next one lost.
+    /// An operator counts a decommissioned machine as lost until the deployment's `sync_time` has passed since its
+    /// replacement was started, and only then may another disk be lost. These tests lose the next disk earlier, as soon
+    /// as the replicas can tolerate it: while only one replica knows a chosen roster, its disk must not be the next one
+    /// lost.
     fn roster_on_majority(&self) -> Vec<Ipv4Addr> {
         let version_on_disk = |ip: &Ipv4Addr| {
             let node = self.nodes.get(ip);
@@ -100,7 +101,7 @@
                 if node.decommissioned {
                     roster.contains(ip)
                 } else {
-                    node.disk_lost
+                    node.unrecovered_disk_loss
                 }
             })
             .count()
@@ -121,8 +122,8 @@
     }
 
     /// A replica notifies its followers of chosen items. Checks that versions only rise at each replica, and that the
-    /// merged configuration is valid after each new set of items: everything that was chosen before is merged by then,
-    /// as the first replica that reports a set has reported it.
+    /// merged configuration is valid after each new set of items. A set is merged when the first replica reports it, so
+    /// everything that was chosen before it is merged by then.
     pub(super) fn on_learned(&mut self, ip: Ipv4Addr, items: &[Item]) {
         let merged = &mut self.observed.merged;
         let mut has_new = false;
--- a/crates/emberpin-consensus/tests/cluster/faults.rs
+++ b/crates/emberpin-consensus/tests/cluster/faults.rs
@@ -95,7 +95,7 @@
         node.replica = None;
         node.disk.clear();
         node.synced = 0;
-        node.disk_lost = true;
+        node.unrecovered_disk_loss = true;
     }
 
     /// Removes a machine and its disk for good.
@@ -158,7 +158,9 @@
                 }
                 self.start_all(&all);
             }
-            12..15 if self.lost_machines() < tolerated || self.nodes[&one].disk_lost => {
+            12..15
+                if self.lost_machines() < tolerated || self.nodes[&one].unrecovered_disk_loss =>
+            {
                 self.lose_disk_and_restart(one, &all);
             }
             15 if self.lost_machines() < tolerated && *machine_count < MAX_MACHINES => {
--- a/crates/emberpin-consensus/tests/cluster/mod.rs
+++ b/crates/emberpin-consensus/tests/cluster/mod.rs
@@ -121,6 +121,7 @@
     pub random: Rand64,
     guards: Guards,
     rounds: Rounds,
+    /// The machines of the bootstrap, which its settings name as seeds.
     seeds: Vec<Ipv4Addr>,
     tolerated_failures: usize,
     /// The times and numbers of scheduled events, the earliest first; the numbers are keys of `scheduled`.
@@ -150,13 +151,14 @@
     )
 }
 
-/// The address of a machine.
-pub fn ip(host: u8) -> Ipv4Addr {
-    Ipv4Addr::new(10, 0, 0, host)
+/// The address of the machine with this number.
+pub fn ip(machine: u8) -> Ipv4Addr {
+    Ipv4Addr::new(10, 0, 0, machine)
 }
 
 impl Cluster {
-    /// Creates a cluster of seeds, and starts all of them with `bootstrap`.
+    /// Creates a cluster of `seed_count` machines, whose settings name all of them as seeds, and starts them with
+    /// [`Start::Bootstrap`]. The random choices of the run derive from `seed`.
     pub fn new(seed: u64, seed_count: u8, tolerated_failures: usize, guards: Guards) -> Cluster {
         Cluster::with_rounds(
             Rounds::Leaderless,
@@ -175,7 +177,7 @@
         tolerated_failures: usize,
         guards: Guards,
     ) -> Cluster {
-        let seeds: Vec<Ipv4Addr> = (1..=seed_count).map(ip).collect();
+        let seed_machines: Vec<Ipv4Addr> = (1..=seed_count).map(ip).collect();
         let mut cluster = Cluster {
             now: 1,
             nodes: BTreeMap::new(),
@@ -190,7 +192,7 @@
             random: Rand64::new(u128::from(seed) + 1),
             guards,
             rounds,
-            seeds: seeds.clone(),
+            seeds: seed_machines.clone(),
             tolerated_failures,
             schedule: BinaryHeap::new(),
             scheduled: BTreeMap::new(),
@@ -202,9 +204,9 @@
             duplicate_percent: 0,
             host_blocks_on_sync: false,
         };
-        for seed in seeds {
-            cluster.add_machine(seed);
-            cluster.start(seed, Start::Bootstrap);
+        for machine in seed_machines {
+            cluster.add_machine(machine);
+            cluster.start(machine, Start::Bootstrap);
         }
         cluster
     }
@@ -244,17 +246,17 @@
     }
 
     /// The newest version of an item that the replica of a machine knows.
-    pub fn known_item(&self, host: u8, kind: ItemKind, name: &str) -> Option<Item> {
+    pub fn known_item(&self, machine: u8, kind: ItemKind, name: &str) -> Option<Item> {
         let key = ItemKey {
             kind,
             name: name.into(),
         };
-        self.replica(ip(host))?.state().get(&key).cloned()
+        self.replica(ip(machine))?.state().get(&key).cloned()
     }
 
     /// The newest version of a service that the replica of a machine knows.
-    pub fn service_version(&self, host: u8, name: &str) -> Option<u64> {
-        let service = self.known_item(host, ItemKind::Service, name)?;
+    pub fn service_version(&self, machine: u8, name: &str) -> Option<u64> {
+        let service = self.known_item(machine, ItemKind::Service, name)?;
         Some(service.version.0)
     }
 
@@ -534,7 +536,7 @@
                 if is_same && node.replica.is_some() {
                     node.synced = node.synced.max(writes);
                     let has_caught_up = node.disk[..node.synced].iter().any(|write| write.voting);
-                    node.disk_lost &= !has_caught_up;
+                    node.unrecovered_disk_loss &= !has_caught_up;
                     self.on_synced(ip, token);
                 }
             }
--- a/crates/emberpin-consensus/tests/cluster/node.rs
+++ b/crates/emberpin-consensus/tests/cluster/node.rs
@@ -18,8 +18,8 @@
     pub(super) disk_full: bool,
     /// The number of failures of its disk. A sync that began before the last failure is not reported.
     pub(super) disk_failures: u64,
-    /// Whether its disk was lost, and does not record yet that the replica has caught up.
-    pub disk_lost: bool,
+    /// Whether its disk was lost, and no synced write has recorded since then that the replica has caught up.
+    pub unrecovered_disk_loss: bool,
     /// Whether it is gone for good.
     pub decommissioned: bool,
     /// Whether the operator has removed it from the list of machines, so that no settings name it as a seed.
--- a/crates/emberpin-consensus/tests/cluster/replica.rs
+++ b/crates/emberpin-consensus/tests/cluster/replica.rs
@@ -12,14 +12,14 @@
 const START: Timestamp = Timestamp::from_millis(1);
 
 /// A voter that knows only the roster of the machines 1, 2 and 3.
-pub fn voter(host: u8, guards: Guards) -> Replica {
+pub fn voter(machine: u8, guards: Guards) -> Replica {
     let options = ReplicaOptions {
-        address: ip(host),
+        address: ip(machine),
         seeds: vec![ip(1), ip(2), ip(3)],
         bootstrap: false,
         tolerated_failures: 1,
         rounds: Rounds::Leaderless,
-        random_seed: host.into(),
+        random_seed: machine.into(),
     };
     let persisted = PersistedState {
         chosen: vec![roster()],
@@ -30,8 +30,8 @@
 }
 
 /// A voter that has learned chosen items.
-pub fn voter_with_items(host: u8, items: &[Item]) -> Replica {
-    let mut replica = voter(host, Guards::default());
+pub fn voter_with_items(machine: u8, items: &[Item]) -> Replica {
+    let mut replica = voter(machine, Guards::default());
     let items = items.to_vec();
     receive(&mut replica, Message::Chosen(Chosen { items }));
     replica
@@ -82,9 +82,9 @@
 }
 
 /// The messages among these actions to a machine.
-pub fn messages_to(actions: Vec<Action>, host: u8) -> Vec<Message> {
+pub fn messages_to(actions: Vec<Action>, machine: u8) -> Vec<Message> {
     let messages = actions.into_iter().filter_map(|action| match action {
-        Action::Send { to, message } if to == ip(host) => Some(message),
+        Action::Send { to, message } if to == ip(machine) => Some(message),
         _ => None,
     });
     messages.collect()
--- a/crates/emberpin-consensus/tests/concurrent_calls.rs
+++ b/crates/emberpin-consensus/tests/concurrent_calls.rs
@@ -19,9 +19,9 @@
         let second = cluster.call(ip(2), calls[1].clone());
         cluster.run(4_000);
         let mut statuses = Vec::new();
-        for (id, host) in [(first, 1), (second, 2)] {
+        for (id, machine) in [(first, 1), (second, 2)] {
             statuses.push(match cluster.calls[id].status() {
-                Some(503) | None => cluster.status_of(ip(host), &calls[id]),
+                Some(503) | None => cluster.status_of(ip(machine), &calls[id]),
                 Some(status) => status,
             });
         }
--- a/crates/emberpin-consensus/tests/disk_failures.rs
+++ b/crates/emberpin-consensus/tests/disk_failures.rs
@@ -24,8 +24,8 @@
     let mut cluster = Cluster::new(21, 3, 1, Guards::default());
     cluster.run(100);
     cluster.fill_disk(ip(1));
-    // Syncs take longer than the grace of a rejected round: a voter that cannot vote must not shorten the time that the
-    // other voters have.
+    // Syncs take longer than a round goes on after a rejection (`rejected_grace`): a voter that cannot vote must not
+    // shorten the time that the other voters have.
     cluster.sync_time = 200..260;
     let rejected = cluster.call(ip(1), set_service("a", 1, 1));
     cluster.run(10);
@@ -48,8 +48,8 @@
     cluster.sync_time = 2..6;
     cluster.free_disk(ip(1));
     cluster.run(20);
-    for host in 1..=3 {
-        cluster.lose_power_and_unsynced_writes(ip(host));
+    for machine in 1..=3 {
+        cluster.lose_power_and_unsynced_writes(ip(machine));
     }
     cluster.start(ip(1), Start::Normal);
     expect_that!(cluster.service_version(1, "b"), some(eq(1)));
@@ -109,8 +109,8 @@
     cluster.free_disk(ip(2));
     cluster.call(ip(2), Call::Get);
     cluster.run_while(4_000, |cluster| cluster.calls[sent].reply.is_none());
-    for host in 1..=3 {
-        cluster.lose_power_and_unsynced_writes(ip(host));
+    for machine in 1..=3 {
+        cluster.lose_power_and_unsynced_writes(ip(machine));
     }
     cluster.lose_disk(ip(1));
     cluster.heal_and_check();
@@ -177,8 +177,8 @@
         cluster.calls[sent].reply.is_none()
     });
     let status = cluster.calls[sent].status();
-    for host in 1..=3 {
-        cluster.lose_power_and_unsynced_writes(ip(host));
+    for machine in 1..=3 {
+        cluster.lose_power_and_unsynced_writes(ip(machine));
     }
     cluster.lose_disk(ip(1));
     cluster.heal_and_check();
--- a/crates/emberpin-consensus/tests/durability.rs
+++ b/crates/emberpin-consensus/tests/durability.rs
@@ -18,8 +18,8 @@
     if status != 200 {
         return Some(format!("status {status}"));
     }
-    for host in 1..=3 {
-        cluster.lose_power_and_unsynced_writes(ip(host));
+    for machine in 1..=3 {
+        cluster.lose_power_and_unsynced_writes(ip(machine));
     }
     cluster.lose_disk(lost_disk);
     cluster.heal_and_check();
--- a/crates/emberpin-consensus/tests/evacuation.rs
+++ b/crates/emberpin-consensus/tests/evacuation.rs
@@ -9,9 +9,9 @@
 use emberpin_consensus::{Call, EvacuationChange, Guards};
 use googletest::prelude::*;
 
-fn is_evacuated(cluster: &Cluster, host: u8) -> bool {
+fn is_evacuated(cluster: &Cluster, machine: u8) -> bool {
     cluster
-        .known_item(host, ItemKind::Evacuation, "z")
+        .known_item(machine, ItemKind::Evacuation, "z")
         .is_some_and(|item| item.body.is_some())
 }
 
@@ -27,11 +27,11 @@
         cluster.status_of(ip(2), &evacuate(EvacuationChange::Begin, 0)),
         eq(200)
     );
-    for host in 1..=3 {
-        cluster.lose_power_and_unsynced_writes(ip(host));
+    for machine in 1..=3 {
+        cluster.lose_power_and_unsynced_writes(ip(machine));
     }
-    for host in 1..=3 {
-        cluster.start(ip(host), Start::Normal);
+    for machine in 1..=3 {
+        cluster.start(ip(machine), Start::Normal);
     }
     expect_that!(cluster.status_of(ip(3), &Call::Get), eq(200));
     expect_that!(is_evacuated(&cluster, 3), eq(true));
@@ -47,8 +47,8 @@
     );
     cluster.heal_and_check();
     expect_that!(cluster.violation, none());
-    for host in 1..=3 {
-        expect_that!(is_evacuated(&cluster, host), eq(false));
+    for machine in 1..=3 {
+        expect_that!(is_evacuated(&cluster, machine), eq(false));
     }
 }
 
@@ -71,8 +71,8 @@
     );
     cluster.heal_and_check();
     expect_that!(cluster.violation, none());
-    for host in 1..=3 {
-        expect_that!(is_evacuated(&cluster, host), eq(false));
+    for machine in 1..=3 {
+        expect_that!(is_evacuated(&cluster, machine), eq(false));
     }
 }
 
--- a/crates/emberpin-consensus/tests/led_rounds.rs
+++ b/crates/emberpin-consensus/tests/led_rounds.rs
@@ -28,10 +28,10 @@
 fn reply_within_span(
     cluster: &mut Cluster,
     span: u64,
-    host: u8,
+    machine: u8,
     when_led: WhenLed,
 ) -> Option<CoordinationReply> {
-    let index = cluster.send_operation(ip(host), next_number("a"), when_led);
+    let index = cluster.send_operation(ip(machine), next_number("a"), when_led);
     cluster.run_while(span, |cluster| cluster.operations[index].is_none());
     cluster.operations[index].clone()
 }
@@ -164,7 +164,7 @@
         cluster.run(20);
         let next = cluster.operate(ip(2), next_number("a"));
         let Some(Outcome::Number { value }) = next else {
-            add_failure!("no number but {next:?}");
+            add_failure!("expected a number, got {next:?}");
             continue;
         };
         // The operation at the stalled leader may be chosen first, by the round of the second operation.
@@ -241,9 +241,9 @@
         }))
     );
     cluster.run(100);
-    for host in 1..=3 {
-        cluster.kill(ip(host));
-        cluster.start(ip(host), Start::Normal);
+    for machine in 1..=3 {
+        cluster.kill(ip(machine));
+        cluster.start(ip(machine), Start::Normal);
     }
     cluster.run(1_000);
     expect_that!(
--- a/crates/emberpin-consensus/tests/linearizability.rs
+++ b/crates/emberpin-consensus/tests/linearizability.rs
@@ -144,8 +144,8 @@
     let clients = 2 + cluster.below(3);
     let mut calls: Vec<Call> = Vec::new();
     for number in 0..CALLS {
-        for host in 1..=3 {
-            cluster.start(ip(host), Start::Normal);
+        for machine in 1..=3 {
+            cluster.start(ip(machine), Start::Normal);
         }
         let pause = if number % clients == 0 {
             cluster.below(400)
--- a/crates/emberpin-consensus/tests/random_faults.rs
+++ b/crates/emberpin-consensus/tests/random_faults.rs
@@ -27,8 +27,8 @@
 /// Runs one seed; returns the first violation.
 fn run(seed: u64, guards: Guards, faults: Faults) -> Option<String> {
     let (count, tolerated) = [(3, 1), (5, 2), (5, 1)][(seed % 3) as usize];
-    // In half of the runs, calls in a minority wait until their deadlines, so that more of them overlap with later
-    // faults.
+    // In half of the runs, calls at replicas that reach no majority of the voters are not rejected early but wait until
+    // their deadlines, so that more of them overlap with later faults.
     let guards = Guards {
         contact_check: guards.contact_check && seed.is_multiple_of(2),
         ..guards
@@ -72,7 +72,7 @@
         // Random numbers are drawn for this only in runs with full disks, so that other runs with the same seed do not
         // change.
         if faults == Faults::WithFullDisks && cluster.below(3) == 0 {
-            fill_or_free_a_disk(&mut cluster, tolerated);
+            inject_full_disk_fault(&mut cluster, tolerated);
         }
     }
     cluster.heal_and_check();
@@ -100,9 +100,10 @@
     }
 }
 
-/// Fills or frees a disk until a later fault; or, usually, fills a disk for a moment during a call, and at the next
-/// acknowledgement cuts the power of all machines and loses the disk of the replica that received the call.
-fn fill_or_free_a_disk(cluster: &mut Cluster, tolerated: usize) {
+/// Injects a fault with a full disk. In two of eight cases it only fills or frees a disk. In the others some machines
+/// are down, and a disk is full for a moment during a call; at the next acknowledgement all machines lose power, and
+/// the replica that received the call loses its disk if this loss is tolerated.
+fn inject_full_disk_fault(cluster: &mut Cluster, tolerated: usize) {
     let all: Vec<Ipv4Addr> = cluster
         .nodes
         .keys()
@@ -168,8 +169,8 @@
 
 /// Seeds whose faults once led to violations in long searches. 14994: the only disk that had a chosen roster was lost.
 /// 9715: of five voters, of which two may be lost, two were decommissioned while a third, which had just proposed
-/// itself for the roster, was without its disk. 35820: the seeds of a new machine were three machines that were all
-/// gone for good.
+/// itself for the roster, was without its disk. 35820: all seeds in the settings of a new machine were machines
+/// that were gone for good.
 #[gtest]
 fn seeds_of_past_failures_pass() {
     for seed in [14_994, 9_715, 35_820] {
--- a/crates/emberpin-consensus/tests/random_registers.rs
+++ b/crates/emberpin-consensus/tests/random_registers.rs
@@ -37,7 +37,7 @@
     let mut callers = RegisterCallers::new(&mut cluster);
     let mut machine_count = count;
     // In some runs faults are rare, so that leaders keep the lead for long.
-    let max_pause = cluster.choose(&[250, 700, 1_500]);
+    let max_fault_interval = cluster.choose(&[250, 700, 1_500]);
     let fault_rate = 1 + cluster.below(12);
     callers.max_pause = cluster.choose(&[8, 60]);
     callers.run(&mut cluster, 600);
@@ -49,24 +49,24 @@
     };
     let until = cluster.now + span;
     while cluster.now < until && cluster.violation.is_none() {
-        let pause = cluster.below(max_pause);
+        let pause = cluster.below(max_fault_interval);
         callers.run(&mut cluster, pause);
         if cluster.below(12) >= fault_rate {
             continue;
         }
         match cluster.below(3) {
-            0 => freeze_or_stall(&mut cluster, &mut callers),
+            0 => inject_additional_fault(&mut cluster, &mut callers),
             _ => {
                 let now = cluster.now;
-                callers.note_fault(now, "a fault");
+                callers.note_fault(now, "a fault of Cluster::inject_random_fault");
                 cluster.inject_random_fault(&mut machine_count, tolerated, duration);
             }
         }
     }
     if cluster.violation.is_none() {
-        for host in all_machines(&cluster) {
-            cluster.wake(host);
-            cluster.node(host).stalled_until = 0;
+        for machine in all_machines(&cluster) {
+            cluster.wake(machine);
+            cluster.node(machine).stalled_until = 0;
         }
         cluster.heal_and_check();
     }
@@ -84,9 +84,10 @@
     cluster.nodes.keys().copied().collect()
 }
 
-/// Injects one fault at random: freezes a machine, wakes all frozen ones, stalls a disk for seconds, fills a disk,
-/// frees the full disks, shuts down a replica, or cuts the power of all machines at the moment of an answer.
-fn freeze_or_stall(cluster: &mut Cluster, callers: &mut RegisterCallers) {
+/// Injects a random fault that [`Cluster::inject_random_fault`] does not inject: freezes a machine, wakes all frozen
+/// ones, stalls a disk for seconds, fills a disk, frees the full disks, shuts down a process, or cuts the power of all
+/// machines at the moment of an answer.
+fn inject_additional_fault(cluster: &mut Cluster, callers: &mut RegisterCallers) {
     let all = all_machines(cluster);
     let one = cluster.choose(&all);
     let now = cluster.now;
@@ -111,8 +112,8 @@
         }
         3..6 => {
             callers.note_fault(now, "all wake");
-            for host in all {
-                cluster.wake(host);
+            for machine in all {
+                cluster.wake(machine);
             }
         }
         6 => {
@@ -121,8 +122,8 @@
         }
         7 => cluster.fill_disk(one),
         _ => {
-            for host in all {
-                cluster.free_disk(host);
+            for machine in all {
+                cluster.free_disk(machine);
             }
         }
     }
@@ -137,8 +138,8 @@
     }
     callers.note_fault(cluster.now, "all lose their power");
     let all = all_machines(cluster);
-    for host in &all {
-        cluster.lose_power_and_unsynced_writes(*host);
+    for machine in &all {
+        cluster.lose_power_and_unsynced_writes(*machine);
     }
     cluster.start_all(&all);
 }
@@ -190,12 +191,12 @@
 }
 
 #[gtest]
-fn random_registers_detect_locks_that_expire_at_a_start() {
+fn random_registers_detect_locks_that_expire_when_a_replica_starts() {
     let guards = Guards {
         count_leases_from_start: false,
         ..Guards::default()
     };
-    let found = violation_with("locks that expire at a start", guards);
+    let found = violation_with("locks that expire when a replica starts", guards);
     expect_that!(found, some(anything()));
 }
 
--- a/crates/emberpin-consensus/tests/register_callers/registry.rs
+++ b/crates/emberpin-consensus/tests/register_callers/registry.rs
@@ -14,9 +14,9 @@
 /// How long a replica stays suspected, in milliseconds. Shorter than in a real registry, so that more operations are
 /// sent.
 const SUSPICION_PERIOD: u64 = 700;
-/// The percentage of requests and replies that are lost, and of requests that are late by up to [`MAX_LATENESS`]
-/// milliseconds.
+/// The percentage of requests and of replies that are lost.
 const LOST_PERCENT: u64 = 1;
+/// The percentage of requests that are late by up to [`MAX_LATENESS`] milliseconds.
 const LATE_PERCENT: u64 = 3;
 const MAX_LATENESS: u64 = 1_500;
 /// The usual delay of a request or reply is below this; in milliseconds.
--- a/crates/emberpin-consensus/tests/retries.rs
+++ b/crates/emberpin-consensus/tests/retries.rs
@@ -23,8 +23,8 @@
     cluster
 }
 
-fn status_at(cluster: &mut Cluster, host: u8, call: &Call) -> u16 {
-    cluster.status_of(ip(host), call)
+fn status_at(cluster: &mut Cluster, machine: u8, call: &Call) -> u16 {
+    cluster.status_of(ip(machine), call)
 }
 
 /// Calls that set x at the versions 5 and 6, remove it at 7, and set it again at 8.
@@ -48,9 +48,9 @@
         }
     }
     event(&mut cluster);
-    let host = *cluster.running().last()?;
+    let machine = *cluster.running().last()?;
     for (nth, call) in acknowledged_calls().iter().enumerate() {
-        let again = cluster.status_of(host, call);
+        let again = cluster.status_of(machine, call);
         if again != 200 {
             return Some(format!("call {nth} again: {again}"));
         }
@@ -64,7 +64,7 @@
         other_content(7),
         other_content(8),
     ] {
-        let other = cluster.status_of(host, &call);
+        let other = cluster.status_of(machine, &call);
         if other != 409 {
             return Some(format!("another content, {call:?}: {other}"));
         }
@@ -75,22 +75,22 @@
 
 fn restart_all(cluster: &mut Cluster) {
     cluster.run(100);
-    for host in 1..=3 {
-        cluster.kill(ip(host));
+    for machine in 1..=3 {
+        cluster.kill(ip(machine));
     }
-    for host in 1..=3 {
-        cluster.start(ip(host), Start::Normal);
+    for machine in 1..=3 {
+        cluster.start(ip(machine), Start::Normal);
     }
     cluster.run(2_000);
 }
 
 fn lose_power_and_one_disk(cluster: &mut Cluster) {
-    for host in 1..=3 {
-        cluster.lose_power_and_unsynced_writes(ip(host));
+    for machine in 1..=3 {
+        cluster.lose_power_and_unsynced_writes(ip(machine));
     }
     cluster.lose_disk(ip(3));
-    for host in 1..=3 {
-        cluster.start(ip(host), Start::Normal);
+    for machine in 1..=3 {
+        cluster.start(ip(machine), Start::Normal);
     }
     cluster.run(6_000);
 }
@@ -255,16 +255,16 @@
         let calls: Vec<Call> = (0..clients)
             .map(|content| set_services(&[("x", 5, content), ("y", content, content)]))
             .collect();
-        let host = |nth: usize| 1 + (nth % 3) as u8;
+        let machine = |nth: usize| 1 + (nth % 3) as u8;
         for (nth, call) in calls.iter().enumerate() {
-            cluster.call(ip(host(nth)), call.clone());
+            cluster.call(ip(machine(nth)), call.clone());
         }
         cluster.run(4_000);
         // Each client sends its call again, as if it had received no reply.
         let again: Vec<u16> = calls
             .iter()
             .enumerate()
-            .map(|(nth, call)| status_at(&mut cluster, host(nth + 1), call))
+            .map(|(nth, call)| status_at(&mut cluster, machine(nth + 1), call))
             .collect();
         expect_that!(again.iter().filter(|status| **status == 200).count(), eq(1));
         expect_that!(
@@ -278,7 +278,7 @@
         let later: Vec<u16> = calls
             .iter()
             .enumerate()
-            .map(|(nth, call)| status_at(&mut cluster, host(nth + 2), call))
+            .map(|(nth, call)| status_at(&mut cluster, machine(nth + 2), call))
             .collect();
         expect_that!(later, eq(&again));
         cluster.heal_and_check();
@@ -343,13 +343,13 @@
         kind: ItemKind::Service,
         name: "x".into(),
     };
-    for host in 1..=3 {
-        let replica = cluster.replica(ip(host)).expect("a running replica");
+    for machine in 1..=3 {
+        let replica = cluster.replica(ip(machine)).expect("a running replica");
         let history = replica.state().get(&History::key(&x)).cloned();
         expect_that!(
             history.as_ref().map(|item| item.version),
             some(eq(Version(1))),
-            "one change, at {host}"
+            "one change, at {machine}"
         );
     }
 }
--- a/crates/emberpin-consensus/tests/roster_changes.rs
+++ b/crates/emberpin-consensus/tests/roster_changes.rs
@@ -9,7 +9,8 @@
 use emberpin_consensus::{Call, Guards, Replica};
 use googletest::prelude::*;
 
-/// How long after the start of its replacement a machine counts as lost, in milliseconds.
+/// How long after the start of its replacement a machine counts as lost, in milliseconds: the `sync_time` of the
+/// deployment, which is not the duration of a disk sync.
 const SYNC_TIME: u64 = 4_000;
 
 #[gtest]
@@ -81,8 +82,8 @@
         cluster.run(synced_at - cluster.now.min(synced_at));
         expect_that!(cluster.now, eq(synced_at));
         let victim = [1, 2, 4][(seed % 3) as usize];
-        for host in [1, 2, 4] {
-            cluster.lose_power_and_unsynced_writes(ip(host));
+        for machine in [1, 2, 4] {
+            cluster.lose_power_and_unsynced_writes(ip(machine));
         }
         cluster.lose_disk(ip(victim));
         cluster.heal_and_check();
@@ -93,9 +94,9 @@
 #[gtest]
 fn replicas_that_are_no_seeds_join_after_the_bootstrap() {
     let mut cluster = Cluster::new(6, 3, 1, Guards::default());
-    for host in [4, 5] {
-        cluster.add_machine(ip(host));
-        cluster.start(ip(host), Start::Bootstrap);
+    for machine in [4, 5] {
+        cluster.add_machine(ip(machine));
+        cluster.start(ip(machine), Start::Bootstrap);
     }
     cluster.run(4_000);
     expect_that!(
@@ -167,8 +168,8 @@
         cluster.begin_leaving(ip(2));
         cluster.run(700);
         expect_that!(cluster.newest_roster().len(), eq(3));
-        for host in [1, 2] {
-            cluster.kill(ip(host));
+        for machine in [1, 2] {
+            cluster.kill(ip(machine));
         }
         cluster.heal_and_check();
         expect_that!(cluster.violation, none());
@@ -179,8 +180,8 @@
 fn replica_without_a_majority_stops_leaving_after_a_timeout() {
     let mut cluster = Cluster::new(15, 5, 1, Guards::default());
     cluster.run(1_000);
-    for host in 1..=4 {
-        cluster.partition(ip(5), ip(host));
+    for machine in 1..=4 {
+        cluster.partition(ip(5), ip(machine));
     }
     let began_at = cluster.now;
     cluster.shut_down(ip(5));
@@ -193,8 +194,8 @@
 fn unresponsive_voter_is_evicted_unless_the_roster_would_be_too_small() {
     let mut cluster = Cluster::new(7, 5, 1, Guards::default());
     cluster.run(1_000);
-    for host in [4, 5] {
-        cluster.decommission(ip(host));
+    for machine in [4, 5] {
+        cluster.decommission(ip(machine));
     }
     cluster.run(30_000);
     expect_that!(cluster.newest_roster(), eq(&vec![ip(1), ip(2), ip(3)]));
@@ -209,8 +210,8 @@
     cluster.run(1_000);
     cluster.call_until_done(ip(1), set_service("a", 1, 1));
     cluster.decommission(ip(5));
-    for host in [6, 7] {
-        cluster.add_machine(ip(host));
+    for machine in [6, 7] {
+        cluster.add_machine(ip(machine));
     }
     for one in [1, 2, 6] {
         for other in [3, 4, 7] {
@@ -249,8 +250,8 @@
 fn roster_change_finished_by_another_proposer(guards: Guards) -> Option<String> {
     let mut cluster = Cluster::new(11, 5, 1, guards);
     cluster.add_machine(ip(6));
-    for host in [4, 5] {
-        cluster.partition(ip(6), ip(host));
+    for machine in [4, 5] {
+        cluster.partition(ip(6), ip(machine));
     }
     cluster.start(ip(6), Start::Normal);
     let is_roster_proposal = |message: &Message| match message {
--- a/crates/emberpin-consensus/tests/slow_disks.rs
+++ b/crates/emberpin-consensus/tests/slow_disks.rs
@@ -42,17 +42,17 @@
     let began_at = cluster.now;
     let mut ids: Vec<usize> = calls
         .iter()
-        .map(|(host, call)| cluster.call(ip(*host), call.clone()))
+        .map(|(machine, call)| cluster.call(ip(*machine), call.clone()))
         .collect();
     while cluster.now < began_at + timeout && cluster.violation.is_none() {
         cluster.run(50);
         let mut all_acknowledged = true;
-        for ((host, call), id) in calls.iter().zip(&mut ids) {
+        for ((machine, call), id) in calls.iter().zip(&mut ids) {
             match cluster.calls[*id].status() {
                 Some(200) => {}
                 Some(503) => {
                     all_acknowledged = false;
-                    *id = cluster.call(ip(*host), call.clone());
+                    *id = cluster.call(ip(*machine), call.clone());
                 }
                 Some(status) => return Err(format!("status {status}")),
                 None => all_acknowledged = false,
@@ -70,9 +70,9 @@
 
 /// A call to each replica, with a service of its own.
 fn one_call_each(count: u8, version: u64) -> Vec<(u8, Call)> {
-    let hosts = (1..=count).zip(["a", "b", "c", "d", "e"]);
-    hosts
-        .map(|(host, name)| (host, set_service(name, version, 1)))
+    let machines = (1..=count).zip(["a", "b", "c", "d", "e"]);
+    machines
+        .map(|(machine, name)| (machine, set_service(name, version, 1)))
         .collect()
 }
 
@@ -96,8 +96,8 @@
     cluster.lose_disk(ip(1));
     cluster.kill(ip(2));
     cluster.sync_time = sync / 2..sync;
-    for host in 1..=3 {
-        cluster.start(ip(host), Start::Normal);
+    for machine in 1..=3 {
+        cluster.start(ip(machine), Start::Normal);
     }
     let calls = [(1, Call::Get), (3, Call::Get), (2, set_service("c", 1, 1))];
     let took = time_until_acknowledged(&mut cluster, &calls, PROGRESS_TIMEOUT)?;
@@ -153,9 +153,9 @@
     cluster.start(ip(1), Start::Normal);
     let began_at = cluster.now;
     let is_repaired = |cluster: &Cluster| {
-        (1..=3).all(|host| {
-            let is_voter = cluster.replica(ip(host)).is_some_and(Replica::is_voter);
-            is_voter && cluster.service_version(host, "a").is_some()
+        (1..=3).all(|machine| {
+            let is_voter = cluster.replica(ip(machine)).is_some_and(Replica::is_voter);
+            is_voter && cluster.service_version(machine, "a").is_some()
         })
     };
     cluster.run_while(PROGRESS_TIMEOUT, |cluster| !is_repaired(cluster));
@@ -229,8 +229,8 @@
             cluster.partition(ip(one), ip(other));
         }
         for _ in 0..20 {
-            for host in 1..=3 {
-                _ = cluster.call(ip(host), set_service("a", 1, 1));
+            for machine in 1..=3 {
+                _ = cluster.call(ip(machine), set_service("a", 1, 1));
             }
             cluster.run(1_000);
         }
--- a/crates/emberpin-consensus/tests/successive_losses.rs
+++ b/crates/emberpin-consensus/tests/successive_losses.rs
@@ -14,7 +14,7 @@
 const HOUR: u64 = 3_600_000;
 
 /// A deployment: its number of voters, how many disks may be lost at once, and after how many milliseconds a loss no
-/// longer counts.
+/// longer counts (`sync_time`, which is not the duration of a disk sync).
 #[derive(Clone, Copy, Debug)]
 struct System {
     voters: u8,
@@ -51,7 +51,7 @@
 struct Run {
     cluster: Cluster,
     /// The number of the newest machine.
-    last_host: u32,
+    last_machine: u32,
     /// Recently replaced machines that may return with their disks; up to [`MAX_SET_ASIDE`].
     set_aside: Vec<Ipv4Addr>,
 }
@@ -78,8 +78,8 @@
     }
 
     fn add_replacement(&mut self) {
-        self.last_host += 1;
-        let machine = Ipv4Addr::from_bits(ip(0).to_bits() + self.last_host);
+        self.last_machine += 1;
+        let machine = Ipv4Addr::from_bits(ip(0).to_bits() + self.last_machine);
         self.cluster.add_machine(machine);
         self.cluster.start(machine, Start::Normal);
     }
@@ -140,7 +140,7 @@
     let cluster = Cluster::new(seed, voters, tolerated, guards);
     let mut run = Run {
         cluster,
-        last_host: voters.into(),
+        last_machine: voters.into(),
         set_aside: Vec::new(),
     };
     run.cluster.run(1_000);
@@ -164,7 +164,7 @@
                     let machines = run.machines();
                     let lost = machines
                         .iter()
-                        .filter(|ip| run.cluster.nodes[ip].disk_lost)
+                        .filter(|ip| run.cluster.nodes[ip].unrecovered_disk_loss)
                         .count();
                     let victim = run.cluster.choose(&machines);
                     if lost < tolerated {
@@ -183,7 +183,7 @@
         run.cluster.run(sync_time);
         let at = run.cluster.now;
         for ip in run.machines() {
-            if run.cluster.nodes[&ip].disk_lost {
+            if run.cluster.nodes[&ip].unrecovered_disk_loss {
                 run.cluster.fail(format!("{ip} has not caught up, {at}"));
             }
         }
