--- a/crates/emberpin-consensus/tests/model.rs
+++ b/crates/emberpin-consensus/tests/model.rs
@@ -375,8 +375,9 @@
     expect_that!(with.states, gt(without.states));
 }
 
-/// A voter that catches up after it promised the next ballot of a leader whose proposal is chosen does so at a higher
-/// ballot, and accepts no lower one. So its promise is kept whether or not the leader counts it.
+/// A voter may promise the next ballot of a leader whose proposal is chosen, lose its disk, and catch up. It catches up
+/// at a higher ballot than the promised one, and accepts no lower one. So its promise is kept whether or not the leader
+/// counts it.
 #[gtest]
 fn counting_void_promises_of_the_next_ballot_violates_nothing() {
     let bounds = RegisterModel {
--- a/crates/emberpin-simulator/src/scenario/patch.rs
+++ b/crates/emberpin-simulator/src/scenario/patch.rs
@@ -3,7 +3,7 @@
 use super::error::ParseErrorKind;
 use super::tokens::{parse_token, Tokens};
 
-/// Expected tokens, as error messages describe them.
+// Descriptions of expected tokens for error messages.
 const PARTS: &str = "svc=, route=, drop=, dropsvc=, ver=, timeout= or torn";
 const VERSION: &str = "a version";
 /// The timeout of a patch's routes without `timeout=`.
--- a/crates/emberpin-simulator/src/scenario/tokens.rs
+++ b/crates/emberpin-simulator/src/scenario/tokens.rs
@@ -11,7 +11,7 @@
 
 /// The tokens that separate two lists of machines.
 const LINK_SIGNS: [&str; 2] = ["|", ">"];
-/// Expected tokens, as error messages describe them.
+// Descriptions of expected tokens for error messages.
 const TIME: &str = "a time such as 2s or 1500ms";
 const PERCENT: &str = "a part such as 5%";
 
