--- a/crates/emberpin-balancer/src/decisions/attempts.rs
+++ b/crates/emberpin-balancer/src/decisions/attempts.rs
@@ -6,10 +6,10 @@
     Usage,
 };
 
-/// Mean deviations beyond the mean latency after which an attempt times out, where a retry would still be
-/// in time.
+/// An attempt times out early, so that a retry can still be in time, no sooner than the mean latency plus
+/// this number of mean deviations.
 const TIMEOUT_DEVIATIONS: f64 = 6.0;
-/// Mean latencies of the latency target that an attempt's time-out leaves for a retry.
+/// Part of the latency target that an early time-out leaves for a retry, in mean latencies.
 const RETRY_MEANS: f64 = 2.0;
 /// Share of the deduplication window that must be left when a keyed request is sent again.
 const WINDOW_MARGIN: f64 = 0.1;
--- a/crates/emberpin-balancer/src/decisions/peers.rs
+++ b/crates/emberpin-balancer/src/decisions/peers.rs
@@ -52,8 +52,8 @@
     }
 
     /// Records a peer's incarnation, of which `low` holds the low 32 bits; returns `false` for a message of
-    /// an older one. The counts of a new incarnation start at zero, so a restart refunds no units that were
-    /// used before.
+    /// an older one. The counts of a new incarnation start at zero; units that an earlier one used stay
+    /// charged.
     fn accept_incarnation(&mut self, now: Millis, from: GatewayId, low: u32) -> bool {
         let incarnation = gossip::full_incarnation(low, now);
         let known = self.peer_incarnations.entry(from);
--- a/crates/emberpin-balancer/src/decisions/slow_start.rs
+++ b/crates/emberpin-balancer/src/decisions/slow_start.rs
@@ -14,7 +14,8 @@
 /// Bound on the number of gateways that may send to a server, as a share of its overload limit in requests:
 /// each gateway may exceed its part by one request.
 const SLOW_START_GATEWAY_SHARE: f64 = 0.2;
-/// Gateways that may send in any case; fewer where the limit is less than this many requests for each.
+/// Least number of gateways that may send to a server; fewer where the limit allows each of them less than
+/// three requests.
 const SLOW_START_MIN_GATEWAYS: f64 = 3.0;
 /// Growth of the estimated throughput per second, as a share of it, while no server is warm and reports show
 /// empty queues.
@@ -102,8 +103,8 @@
         let warm_rate = if self.load.warm_throughput > 0.0 {
             self.load.warm_throughput * server.info.capacity
         } else {
-            // No warm server was observed yet. A running server serves at least one mean request after the
-            // other, and answers show how long one takes.
+            // No warm server was observed yet. A running server serves at least one request at a time, and
+            // answers show how long one takes on average.
             let capacity = server.info.capacity.min(1.0);
             capacity * 1000.0 / self.mean_latency() * self.rate_multiple()
         };
--- a/crates/emberpin-balancer/src/interface/actions.rs
+++ b/crates/emberpin-balancer/src/interface/actions.rs
@@ -34,12 +34,12 @@
         /// The attempt's number.
         attempt: u32,
     },
-    /// Probe a server. No decision uses it yet.
+    /// Probe a server. The gateway does not request this yet.
     Probe {
         /// The server to probe.
         server: ServerId,
     },
-    /// Close idle connections to a server. No decision uses it yet.
+    /// Close idle connections to a server. The gateway does not request this yet.
     CloseIdle {
         /// The server whose idle connections to close.
         server: ServerId,
@@ -58,14 +58,14 @@
         /// The encoded message, at most [`gossip::MAX_BYTES`](crate::gossip::MAX_BYTES).
         bytes: Vec<u8>,
     },
-    /// Fetch the full endpoint list once. No decision uses it yet.
+    /// Fetch the full endpoint list once. The gateway does not request this yet.
     FetchServers,
     /// Subscribe to changes of the endpoint list, or unsubscribe.
     WatchServers {
         /// Whether to subscribe.
         on: bool,
     },
-    /// Add to a counter of the counter service. No decision uses it yet.
+    /// Add to a counter of the counter service. The gateway does not request this yet.
     AddToCounter {
         /// The counter to add to.
         counter: u64,
@@ -74,7 +74,7 @@
         /// Milliseconds after which a counter that this call creates expires.
         lifetime: Millis,
     },
-    /// Report usage to the second process of this gateway.
+    /// Report usage to the second process of this gateway, which runs during an upgrade.
     ShareUsage(Usage),
     /// Write a line to the operators' log. The same text is appended at most once in five seconds.
     Log(String),
--- a/crates/emberpin-balancer/tests/common/fleet.rs
+++ b/crates/emberpin-balancer/tests/common/fleet.rs
@@ -385,7 +385,7 @@
         let server_model = self
             .servers
             .get_mut(&attempt.server)
-            .expect("it was sent to");
+            .expect("attempts are sent to known servers only");
         server_model.in_flight -= 1;
         attempt.load.queue_length = Some(f64::from(server_model.in_flight.saturating_sub(1)));
         if attempt.outcome == Outcome::Ok {
--- a/crates/emberpin-balancer/tests/decision_files.rs
+++ b/crates/emberpin-balancer/tests/decision_files.rs
@@ -42,12 +42,12 @@
     let deploy = read("deploy/balancer.toml");
     let (_, list) = deploy
         .split_once("policy = [")
-        .expect("the policy's files are listed");
+        .expect("the deploy file lists the decision files");
     let (list, _) = list.split_once(']').expect("the list ends");
     let listed: BTreeSet<&str> = list.split('"').skip(1).step_by(2).collect();
     let folder = "crates/emberpin-balancer/src/decisions";
     let present = fs::read_dir(root.join(folder))
-        .expect("the policy's folder")
+        .expect("the folder of the decision files")
         .map(|entry| {
             let name = entry.expect("readable").file_name();
             format!("{folder}/{}", name.to_str().expect("a plain name"))
--- a/crates/emberpin-balancer/tests/fleet.rs
+++ b/crates/emberpin-balancer/tests/fleet.rs
@@ -6,7 +6,8 @@
 use common::settings;
 use emberpin_balancer::*;
 
-/// Settings without quotas, where many peers cannot receive every announcement.
+/// Settings without quotas. The limit on peer messages is so low that gateways of a large group cannot receive every
+/// announcement.
 fn without_quotas() -> Settings {
     let mut settings = settings();
     settings.classes[0].latency_target = 1_000.0;
@@ -43,12 +44,12 @@
         let share = f64::from(after.in_time) / f64::from(after.requested);
         assert!(
             share > 0.75,
-            "{gateways} gateways, seed {seed}: {share} in time of {after:?}"
+            "{gateways} gateways, seed {seed}: share answered in time: {share} of {after:?}"
         );
         let nearest = fleet.nearest_to_overload();
         assert!(
             nearest < 1.0,
-            "{gateways} gateways, seed {seed}: {nearest} of what overloads a cold server"
+            "{gateways} gateways, seed {seed}: a cold server was sent {nearest} times the load that overloads it"
         );
     }
 }
@@ -66,7 +67,7 @@
             let share = f64::from(after.in_time) / f64::from(after.requested);
             assert!(
                 share > 0.9,
-                "{gateways} gateways, seed {seed}: {share} in time of {after:?}"
+                "{gateways} gateways, seed {seed}: share answered in time: {share} of {after:?}"
             );
         }
     }
@@ -76,7 +77,7 @@
 /// Thresholds below one were exceeded by chance, because only few gateways send at a time, and they reported their
 /// load at the moment when they had something to announce.
 #[test]
-fn hundreds_of_gateways_with_little_in_flight_do_not_throttle_an_idle_back_end() {
+fn hundreds_of_gateways_with_little_in_flight_do_not_throttle_a_back_end_with_spare_capacity() {
     for (gateways, seed) in [(3, 1), (100, 2), (300, 3), (300, 4)] {
         let size = Size {
             gateways,
@@ -93,11 +94,11 @@
             size,
         );
         fleet.run(3_000.0);
-        let idle = fleet.run(12_000.0);
-        let share = f64::from(idle.in_time) / f64::from(idle.requested);
+        let outcomes = fleet.run(12_000.0);
+        let share = f64::from(outcomes.in_time) / f64::from(outcomes.requested);
         assert!(
             share > 0.97,
-            "{gateways} gateways, seed {seed}: {share} in time of {idle:?}"
+            "{gateways} gateways, seed {seed}: share answered in time: {share} of {outcomes:?}"
         );
     }
 }
@@ -119,7 +120,7 @@
         let share = f64::from(overloaded.in_time) / f64::from(overloaded.requested);
         assert!(
             share > 0.45,
-            "{gateways} gateways, seed {seed}: {share} in time of {overloaded:?}"
+            "{gateways} gateways, seed {seed}: share answered in time: {share} of {overloaded:?}"
         );
     }
 }
--- a/crates/emberpin-balancer/tests/invariants.rs
+++ b/crates/emberpin-balancer/tests/invariants.rs
@@ -152,8 +152,8 @@
                         .unwrap_or(f64::NEG_INFINITY);
                     let is_warming_up = now - started_at < self.settings.slow_start.duration;
                     if is_warming_up && self.answered == 0 {
-                        // Without any answer, the estimate is one mean request (125 ms) after the other; twice that
-                        // overloads a server.
+                        // Without any answer, the estimate is one request at a time, in 125 ms on average; twice that
+                        // rate overloads a server.
                         let sends = self.sends_to_cold_servers.entry(*server).or_default();
                         sends.retain(|at| now - at < self.settings.slow_start.overload_time);
                         sends.push(now);
--- a/crates/emberpin-balancer/tests/large_group.rs
+++ b/crates/emberpin-balancer/tests/large_group.rs
@@ -184,7 +184,7 @@
                 .count() as f64;
             let warm_up_share = slow_start.initial_capacity
                 + (1.0 - slow_start.initial_capacity) * from / slow_start.duration;
-            // A server can serve at least one mean request of 30 ms after the other.
+            // A server can serve at least one request at a time, in 30 ms on average.
             let limit = slow_start.overload_multiple * warm_up_share / 0.030
                 * slow_start.overload_time
                 / 1000.0;
--- a/crates/emberpin-bench/src/main.rs
+++ b/crates/emberpin-bench/src/main.rs
@@ -23,7 +23,7 @@
 /// The first argument with which this program runs as the bare reverse proxy.
 pub const AS_BARE: &str = "bare";
 /// The first argument with which this program runs as the stack of tower layers.
-pub const AS_STACK: &str = "stack";
+pub const AS_TOWER_STACK: &str = "stack";
 /// The first argument with which this program sends requests through the limiter in-process, without sockets.
 pub const AS_IN_PROCESS_LIMITER: &str = "entry";
 
@@ -60,7 +60,7 @@
     pub json: Option<PathBuf>,
     /// Measure the limiter with this operator file too; may be given several times
     #[arg(long = "with", value_name = "FILE")]
-    pub with: Vec<PathBuf>,
+    pub operator_files: Vec<PathBuf>,
     /// Another build of the limiter, measured in place of this program's own
     #[arg(long, value_name = "PATH")]
     pub limiter: Option<PathBuf>,
@@ -115,7 +115,7 @@
     let result = match first_argument.as_str() {
         AS_LIMITER => return emberpin_limiter::operate::command::main(std::env::args_os().skip(1)),
         AS_BARE => bare::run(),
-        AS_STACK => stack::run(),
+        AS_TOWER_STACK => stack::run(),
         AS_IN_PROCESS_LIMITER => instructions::run_in_process(),
         _ => {
             let cli = Cli::parse();
--- a/crates/emberpin-bench/src/measure.rs
+++ b/crates/emberpin-bench/src/measure.rs
@@ -1,6 +1,6 @@
 //! The rounds of the main measurement, and the table of their figures.
 
-use crate::{settings, standins, Plan, AS_BARE, AS_LIMITER, AS_STACK};
+use crate::{settings, standins, Plan, AS_BARE, AS_LIMITER, AS_TOWER_STACK};
 use comfy_table::presets::UTF8_HORIZONTAL_ONLY;
 use comfy_table::{CellAlignment, Table, TableComponent};
 use emberpin_testbed::process::resource_usage;
@@ -31,6 +31,7 @@
     cpu_us_per_request: f64,
     p50_us: f64,
     p99_us: f64,
+    /// Requests served per second under closed-loop load, the most that the subject serves.
     most_per_second: f64,
     peak_kib: f64,
     not_served: u64,
@@ -92,11 +93,11 @@
     let mut subjects = vec![
         new_subject("bare proxy", own_program_as(AS_BARE)),
         new_subject("limiter", (limiter.clone(), limiter_arguments.clone())),
-        new_subject("tower + governor", own_program_as(AS_STACK)),
+        new_subject("tower + governor", own_program_as(AS_TOWER_STACK)),
     ];
-    if !plan.with.is_empty() {
+    if !plan.operator_files.is_empty() {
         let mut arguments = limiter_arguments;
-        for file in &plan.with {
+        for file in &plan.operator_files {
             arguments.extend(["--with".into(), file.into()]);
         }
         subjects.push(new_subject("limiter --with", (limiter, arguments)));
@@ -116,8 +117,8 @@
     Ok(())
 }
 
-/// The median and the 99th percentile of the response time of the stand-ins alone in each round, in microseconds, and
-/// the rounds of each subject.
+/// The median and the 99th percentile of the response time without a proxy in each round, in microseconds, and the
+/// rounds of each subject.
 type Figures = (Vec<(f64, f64)>, Vec<Measured>);
 
 fn rounds(plan: &Plan, subjects: &[Subject], folder: &Path) -> Result<Figures, String> {
@@ -172,19 +173,19 @@
     let process = SubjectProcess::start(subject, &file, address)?;
     let time = Duration::from_secs_f64(plan.seconds);
     standins::load_at_rate(address, plan.rate, WARM_UP)?;
-    let (before, _) = process.used()?;
+    let (before, _) = process.resource_usage()?;
     let observed = standins::load_at_rate(address, plan.rate, time)?;
-    let (after, _) = process.used()?;
+    let (after, _) = process.resource_usage()?;
     let peak = standins::load_closed_loop(address, plan.connections as usize, time / 2)?;
-    let (_, peak_kib) = process.used()?;
+    let (_, peak_kib) = process.resource_usage()?;
     Ok(Round {
         cpu_us_per_request: (after - before) * 1000.0
-            / (observed.served + observed.other).max(1) as f64,
+            / (observed.served + observed.not_served).max(1) as f64,
         p50_us: percentile(&observed.times, 0.5),
         p99_us: percentile(&observed.times, 0.99),
         most_per_second: peak.served as f64 / peak.seconds,
         peak_kib: peak_kib as f64,
-        not_served: observed.other + peak.other,
+        not_served: observed.not_served + peak.not_served,
     })
 }
 
@@ -228,7 +229,8 @@
         Ok(running)
     }
 
-    fn used(&self) -> Result<(f64, u64), String> {
+    /// The processor time in milliseconds so far, and the largest resident set in KiB.
+    fn resource_usage(&self) -> Result<(f64, u64), String> {
         resource_usage(self.child.id()).ok_or_else(|| format!("{} has ended", self.subject.name))
     }
 }
@@ -259,7 +261,7 @@
     let direct_p50 = Spread::from_values(direct.iter().map(|(p50, _)| *p50));
     let direct_p99 = Spread::from_values(direct.iter().map(|(_, p99)| *p99));
     println!(
-        "{} rounds of {} s at {} requests a second; stand-ins alone: p50 {} µs, p99 {} µs",
+        "{} rounds of {} s at {} requests a second; servers without a proxy: p50 {} µs, p99 {} µs",
         plan.rounds,
         plan.seconds,
         plan.rate,
@@ -270,7 +272,7 @@
         ("CPU µs a request", |round| round.cpu_us_per_request, 1),
         ("p50 µs", |round| round.p50_us, 0),
         ("p99 µs", |round| round.p99_us, 0),
-        ("most requests/s", |round| round.most_per_second, 0),
+        ("peak requests/s", |round| round.most_per_second, 0),
         ("peak KiB", |round| round.peak_kib, 0),
     ];
     let mut table = Table::new();
@@ -280,9 +282,9 @@
     table.remove_style(TableComponent::MiddleIntersections);
     table.set_header([
         "",
-        "median (least to most)",
-        "to the bare proxy",
-        "to the limiter",
+        "median (min to max)",
+        "ratio to the bare proxy",
+        "ratio to the limiter",
         "not served",
     ]);
     let [bare, limiter, ..] = measured else {
--- a/crates/emberpin-bench/src/standins.rs
+++ b/crates/emberpin-bench/src/standins.rs
@@ -118,7 +118,7 @@
     /// The number of requests answered 200 with the body that belongs to the request.
     pub served: u64,
     /// The number of all other requests.
-    pub other: u64,
+    pub not_served: u64,
     /// The time from the last byte sent to the last byte received of each served request, sorted, in microseconds.
     pub times: Vec<f64>,
     /// The duration of the whole run.
@@ -227,7 +227,7 @@
                 result.served += 1;
                 result.times.push(time.as_secs_f64() * 1e6);
             }
-            None => result.other += 1,
+            None => result.not_served += 1,
         }
     }
 
--- a/crates/emberpin-failover/src/event.rs
+++ b/crates/emberpin-failover/src/event.rs
@@ -38,7 +38,7 @@
         /// The holders of its key.
         acceptors: Vec<Member>,
     },
-    /// The key of a work has an outcome here, or is free: the work must not be taken over.
+    /// The work has an outcome at this limiter, or its key is free again: the work must not be taken over.
     KeyReleased(WorkId),
     /// The current incarnation of a member is known.
     IncarnationObserved {
@@ -95,7 +95,7 @@
     },
     /// Run this work of another limiter; report [`Event::WorkCompleted`] or [`Event::TakeoverFailed`].
     TakeOver {
-        /// The work, under the identity that its claimant gave it.
+        /// The work's identity. It is unchanged: it still names the limiter that received the request.
         work_id: WorkId,
         /// The client's request; its time left counts from now.
         work: Work,
@@ -105,7 +105,7 @@
     /// The client may be sent the outcome: a majority has acknowledged it, the completion time-out has passed, or this
     /// limiter no longer owns the work.
     AllowResponse(WorkId),
-    /// No member runs this work. The host ends its key with this verdict.
+    /// No member runs this work any more. The host closes the claim on its key according to the verdict.
     Abandoned {
         /// The work whose key was granted here.
         work_id: WorkId,
--- a/crates/emberpin-failover/src/failover.rs
+++ b/crates/emberpin-failover/src/failover.rs
@@ -1,5 +1,6 @@
-//! State and dispatch of the failover core. Its three roles have modules of their own: [`owner`] requests permission
-//! for attempts, [`acceptor`] keeps the state of other members' work, [`candidate`] takes work over.
+//! State and dispatch of the failover core, for *works*: requests under an idempotency key. Its three roles have
+//! modules of their own: [`owner`] requests permission for attempts, [`acceptor`] keeps the state of other members'
+//! work, [`candidate`] takes work over.
 
 mod acceptor;
 mod candidate;
@@ -26,7 +27,7 @@
     /// Current incarnations of the members, as far as observed.
     incarnations: BTreeMap<Member, Incarnation>,
     unreachable: BTreeSet<Member>,
-    /// Works that this limiter runs.
+    /// Works that this limiter runs, as their owner.
     owned: BTreeMap<WorkId, OwnedWork>,
     /// Completed works whose outcome no majority has acknowledged yet.
     completing: BTreeMap<WorkId, PendingCompletion>,
@@ -34,7 +35,7 @@
     records: BTreeMap<WorkId, WorkRecord>,
     /// Bytes of payload in `records`.
     record_bytes: usize,
-    /// Works whose key this limiter has granted.
+    /// Works whose idempotency key this limiter has granted, and which it may have to take over.
     grants: BTreeMap<WorkId, Grant>,
     takeover_budget: TakeoverBudget,
     /// Messages of this limiter to itself, delivered in order before [`Failover::handle`] returns.
@@ -97,8 +98,8 @@
         })
     }
 
-    /// Whether this acceptor has promised a work to another member than its claimant. The claimant's reports about the
-    /// work must be ignored then.
+    /// Whether this acceptor has promised a work to a candidate. Reports about the work from the limiter that received
+    /// the request must be ignored then.
     #[must_use]
     pub fn is_promised_to_candidate(&self, work_id: &WorkId) -> bool {
         self.records
--- a/crates/emberpin-failover/tests/takeover.rs
+++ b/crates/emberpin-failover/tests/takeover.rs
@@ -1,4 +1,6 @@
 //! Takeovers after the loss of an owner: who runs the work, whether it is sent again, and what becomes of it otherwise.
+//! A candidate is an acceptor that has learned of the loss and asks the others whether it may take the work over; the
+//! successor is the one that does.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -23,7 +25,7 @@
 }
 
 #[test]
-fn work_without_a_window_or_past_it_is_abandoned_as_may_have_run() {
+fn work_without_a_window_or_past_it_is_abandoned_with_the_verdict_may_have_run() {
     let cases = [
         (None, 0.0),
         (Some(DEDUPLICATION_WINDOW_MS), DEDUPLICATION_WINDOW_MS),
@@ -126,7 +128,7 @@
 }
 
 #[test]
-fn takeovers_above_the_rate_limit_are_abandoned_as_may_have_run() {
+fn takeovers_above_the_rate_limit_are_abandoned_with_the_verdict_may_have_run() {
     let mut cluster = Cluster::new(Some(DEDUPLICATION_WINDOW_MS), 0.0);
     cluster.start_work();
     cluster.run_for(50.0);
--- a/crates/emberpin-idempotency/src/claims.rs
+++ b/crates/emberpin-idempotency/src/claims.rs
@@ -60,7 +60,7 @@
     Released(Claim),
     /// From claimant to holder: the request may have run, and no outcome will follow.
     Lost(Claim),
-    /// To the holder: the request was served.
+    /// To the holder, from the claimant or the limiter that took the work over: the request was served.
     Served {
         /// The claim under which the request was forwarded. After a takeover, a new number that stands for no claim.
         claim: Claim,
@@ -176,7 +176,7 @@
     },
     /// A message from another limiter arrived.
     Received {
-        /// The limiter in question.
+        /// The limiter that sent it.
         from: Member,
         /// The message.
         message: Message<A>,
--- a/crates/emberpin-idempotency/src/table.rs
+++ b/crates/emberpin-idempotency/src/table.rs
@@ -2,7 +2,7 @@
 //! wait for it, which reply each of them gets, and what is evicted when the table is full.
 //!
 //! An entry whose request has run, or may have run, is never removed before its retention period is over: without the
-//! entry, a repeat would be signed a second time. Only the *answer* kept with an entry is evicted early; a repeat is
+//! entry, a repeat would run a second time. Only the *answer* kept with an entry is evicted early; a repeat is
 //! then told that the work is done and that its answer is not kept any more. When there is no capacity for another
 //! entry, new work is rejected with the time until the oldest entry expires.
 //!
--- a/crates/emberpin-idempotency/tests/claims.rs
+++ b/crates/emberpin-idempotency/tests/claims.rs
@@ -12,7 +12,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Answer {
-    Signed(u64),
+    Served(u64),
     Rejected,
     Failed,
 }
@@ -97,7 +97,7 @@
     /// When the request of a key may last have run.
     last_ran_at: BTreeMap<u64, Millis>,
     forwarded_twice: Option<u64>,
-    signed: u64,
+    served: u64,
     replies: BTreeMap<&'static str, u64>,
     messages: u64,
 }
@@ -117,7 +117,7 @@
             all_requests: BTreeMap::new(),
             last_ran_at: BTreeMap::new(),
             forwarded_twice: None,
-            signed: 0,
+            served: 0,
             replies: BTreeMap::new(),
             messages: 0,
         };
@@ -305,11 +305,11 @@
                 }
             }
             _ => {
-                self.signed += 1;
+                self.served += 1;
                 self.last_ran_at.insert(key, self.now);
                 Event::Served {
                     ticket,
-                    answer: Answer::Signed(key),
+                    answer: Answer::Served(key),
                 }
             }
         };
@@ -431,13 +431,13 @@
                     self.complete_write(at);
                 }
                 while let Some((ticket, key)) = self.nodes[at].in_flight.pop() {
-                    self.signed += 1;
+                    self.served += 1;
                     self.last_ran_at.insert(key, self.now);
                     self.handle_at(
                         at,
                         Event::Served {
                             ticket,
-                            answer: Answer::Signed(key),
+                            answer: Answer::Served(key),
                         },
                     );
                 }
@@ -478,12 +478,12 @@
         if logs {
             // After any faults a new key is served at each limiter, and its request runs once.
             for at in 0..limiters as usize {
-                let (number, signed) = (100 + at as u64, cluster.signed);
+                let (number, served) = (100 + at as u64, cluster.served);
                 cluster.arrive(at, number);
                 cluster.arrive(at, number);
                 cluster.arrive((at + 1) % limiters as usize, number);
                 cluster.heal_and_drain();
-                assert_eq!(cluster.signed, signed + 1, "seed {seed}: a new key at {at}");
+                assert_eq!(cluster.served, served + 1, "seed {seed}: a new key at {at}");
                 assert!(cluster.unanswered.is_empty(), "seed {seed}");
             }
         }
@@ -546,7 +546,7 @@
     cluster.heal_and_drain();
     assert_eq!(
         (
-            cluster.signed,
+            cluster.served,
             cluster.replies.get("own"),
             cluster.replies.get("replay")
         ),
@@ -591,7 +591,7 @@
     cluster.unanswered.remove(&lead);
     cluster.handle_at(0, Event::ClientLeft { ticket: lead.1 });
     cluster.heal_and_drain();
-    assert_eq!((cluster.signed, cluster.replies.get("own")), (1, Some(&1)));
+    assert_eq!((cluster.served, cluster.replies.get("own")), (1, Some(&1)));
 }
 
 /// Forwards one request at limiter 0, granted by 0 and 1.
@@ -636,7 +636,7 @@
         0,
         Event::Served {
             ticket,
-            answer: Answer::Signed(key),
+            answer: Answer::Served(key),
         },
     );
     cluster.cut.clear();
@@ -688,7 +688,7 @@
     cluster.start(2);
     cluster.arrive(1, 2);
     cluster.heal_and_drain();
-    assert_eq!(cluster.signed, 2);
+    assert_eq!(cluster.served, 2);
 }
 
 #[test]
@@ -698,7 +698,7 @@
         cluster.arrive(n % 3, 1);
     }
     cluster.heal_and_drain();
-    assert_eq!(cluster.signed, 1);
+    assert_eq!(cluster.served, 1);
     // Each limiter sends its requests once while its first request is in flight. Repeats above the limit of waiters are
     // told that the first request is in flight.
     assert!(cluster.messages < 60, "{}", cluster.messages);
--- a/crates/emberpin-idempotency/tests/table.rs
+++ b/crates/emberpin-idempotency/tests/table.rs
@@ -352,7 +352,7 @@
 }
 
 /// A request that arrives in the quiet period may have run before. It must be forwarded neither then nor on a retry:
-/// either would sign it a second time.
+/// either might run it a second time.
 #[test]
 fn a_key_that_arrives_in_the_quiet_period_is_never_forwarded() {
     let mut fixture = Fixture::new(Limits {
--- a/crates/emberpin-wal/src/log.rs
+++ b/crates/emberpin-wal/src/log.rs
@@ -26,7 +26,7 @@
 const SLOT_BYTES: usize = 28;
 /// How many bytes of a segment are read at once.
 const READ_CHUNK_BYTES: usize = 64 * 1024;
-/// The name that a damaged segment gets when it is retired.
+/// The name that a damaged segment gets where an intact one would be removed.
 const DAMAGED_FILE: &str = "damaged";
 
 /// Identifies the opener of a log.
@@ -200,11 +200,14 @@
 pub struct Log<S> {
     storage: S,
     identity: Identity,
+    /// Random id of the log.
     log: [u8; 16],
     salt: u32,
     /// All segments, by number; the last is the one that is written to.
     segments: BTreeMap<u64, Segment>,
+    /// Number of the segment that is written to.
     current: u64,
+    /// Sequence number of the next record.
     next: u64,
     /// Last durable sequence number.
     durable: u64,
--- a/crates/emberpin-wal/src/service.rs
+++ b/crates/emberpin-wal/src/service.rs
@@ -165,7 +165,7 @@
             match command {
                 Command::Append { payload, ticket } => next = self.write(payload, ticket, notify),
                 Command::Rotate => notify(LogEvent::Rotated(self.log.rotate())),
-                // Segments that cannot be removed now are removed by the next retirement.
+                // Segments that cannot be removed now are removed by the next such command.
                 Command::RemoveBefore(before) => _ = self.log.remove_segments_before(before),
             }
             self.bytes.store(self.log.bytes(), Ordering::Relaxed);
--- a/crates/emberpin-wal/tests/service.rs
+++ b/crates/emberpin-wal/tests/service.rs
@@ -111,7 +111,7 @@
         accepted += 1;
     }
     drop(permit_sender);
-    assert!(accepted < 100, "bounded");
+    assert!(accepted < 100, "the queue is bounded");
     let mut reported = 0;
     while reported < accepted {
         match events.recv().expect("an event") {
