--- a/crates/emberpin-config/src/checkpoint.rs
+++ b/crates/emberpin-config/src/checkpoint.rs
@@ -7,12 +7,12 @@
 /// The maximum number of tombstones of routes and services. A patch that would exceed it is committed together with a
 /// [`Checkpoint`], which removes the tombstones with the lowest versions.
 pub const MAX_TOMBSTONES: usize = 50_000;
-/// Besides the excess, a checkpoint removes `1 / REMOVED_FRACTION` of the maximum number of tombstones. With a higher
-/// value, checkpoints become more frequent, and each of them lists live items.
+/// Besides the excess, a checkpoint removes `1 / REMOVED_FRACTION` of the maximum number of tombstones. A higher value
+/// makes checkpoints more frequent, which is costly as each of them lists live items.
 const REMOVED_FRACTION: usize = 8;
 
-/// The versions of routes and services that were kept up to a certain version, the floor. All others up to the floor
-/// were removed.
+/// Records which tombstones of routes and services were removed: those with versions up to the floor. Of the versions
+/// up to the floor, only those of live items were kept, and the checkpoint lists these.
 ///
 /// A checkpoint is itself an item that consensus chooses like any other, so all replicas remove the same tombstones, in
 /// whatever order they receive items. A version at or below the floor is admitted only if the checkpoint lists its item
--- a/crates/emberpin-config/src/commit.rs
+++ b/crates/emberpin-config/src/commit.rs
@@ -58,8 +58,8 @@
 }
 
 /// Validates a patch like [`validate`], for the stores, which commit the configuration. [`PatchOutcome::Apply`] also
-/// has the histories and the checkpoint to commit in the same proposal. So a patch without newer items can result in
-/// `Apply`, too: if superseded versions are to be recorded as acknowledged.
+/// contains the histories and the checkpoint to commit in the same proposal. So a patch without newer items results in
+/// `Apply`, too, if superseded versions have to be recorded as acknowledged.
 pub fn validate_for_commit(
     current: &Configuration,
     patch: &Patch,
--- a/crates/emberpin-config/tests/common/mod.rs
+++ b/crates/emberpin-config/tests/common/mod.rs
@@ -22,8 +22,8 @@
     format!(r#"{{"name":"{name}","hcheck":"/healthz","maxconn":120,"ver":{version}}}"#)
 }
 
-/// A host with one route to services, each with its weight. `location` is `HOST/PREFIX`.
-pub fn route(name: &str, location: &str, services: &[(&str, u32)], version: u64) -> String {
+/// An entry of `vhosts`: a host with one route to services, each with its weight. `location` is `HOST/PREFIX`.
+pub fn vhost(name: &str, location: &str, services: &[(&str, u32)], version: u64) -> String {
     let (host, prefix) = location.split_once('/').expect("a host and a prefix");
     let dist: Vec<String> = services
         .iter()
--- a/crates/emberpin-config/tests/configuration.rs
+++ b/crates/emberpin-config/tests/configuration.rs
@@ -136,7 +136,7 @@
 #[gtest]
 fn a_check_reports_invalid_items_unknown_services_and_colliding_routes() {
     let service_s = || service("s", 1);
-    let route_to_s = |name: &str, at: &str| route(name, at, &[("s", 1)], 1);
+    let vhost_to_s = |name: &str, at: &str| vhost(name, at, &[("s", 1)], 1);
     let problem = |services: &[String], hosts: &[String], removed: &[String]| {
         let patches = [
             patch(services, hosts, &[], &[]),
@@ -154,9 +154,9 @@
         problem(
             &[service_s()],
             &[
-                route_to_s("a", "h/"),
-                route_to_s("b", "h/x/"),
-                route_to_s("c", "i/")
+                vhost_to_s("a", "h/"),
+                vhost_to_s("b", "h/x/"),
+                vhost_to_s("c", "i/")
             ],
             &[]
         ),
@@ -164,14 +164,14 @@
     );
     let unknown = "route a: names the service s, which is unknown";
     expect_that!(
-        problem(&[], &[route_to_s("a", "h/")], &[]),
+        problem(&[], &[vhost_to_s("a", "h/")], &[]),
         err(eq(unknown))
     );
     expect_that!(
-        problem(&[service_s()], &[route_to_s("a", "h/")], &[removal("s", 2)]),
+        problem(&[service_s()], &[vhost_to_s("a", "h/")], &[removal("s", 2)]),
         err(eq(unknown))
     );
-    let partly_unknown = route("a", "h/", &[("s", 1), ("t", 0)], 1);
+    let partly_unknown = vhost("a", "h/", &[("s", 1), ("t", 0)], 1);
     expect_that!(
         problem(&[service_s()], &[partly_unknown], &[]),
         err(eq("route a: names the service t, which is unknown"))
@@ -180,7 +180,7 @@
     expect_that!(
         problem(
             &[service_s()],
-            &[route_to_s("b", "h/x/"), route_to_s("a", "H/x/")],
+            &[vhost_to_s("b", "h/x/"), vhost_to_s("a", "H/x/")],
             &[]
         ),
         err(eq(collision))
@@ -251,11 +251,11 @@
 
 #[gtest]
 fn routes_of_one_host_are_exported_together() {
-    let route_to_s = |name: &str, at: &str| route(name, at, &[("s", 1)], 1);
+    let vhost_to_s = |name: &str, at: &str| vhost(name, at, &[("s", 1)], 1);
     let hosts = [
-        route_to_s("a", "h/"),
-        route_to_s("b", "i/"),
-        route_to_s("c", "h/x/"),
+        vhost_to_s("a", "h/"),
+        vhost_to_s("b", "i/"),
+        vhost_to_s("c", "h/x/"),
     ];
     let all = export_json(&configuration(&[patch(&[], &hosts, &[], &[])]));
     expect_that!(all.matches("\"hostname\":\"h\"").count(), eq(1));
@@ -265,7 +265,7 @@
 #[gtest]
 fn among_colliding_routes_the_higher_version_is_effective_then_the_smaller_name() {
     let s = [service("s", 1)];
-    let route_to_s = |name: &str, at: &str, version| route(name, at, &[("s", 1)], version);
+    let vhost_to_s = |name: &str, at: &str, version| vhost(name, at, &[("s", 1)], version);
     let effective = |hosts: &[String]| {
         effective_routes(&configuration(&[patch(&s, hosts, &[], &[])]))
             .into_iter()
@@ -273,19 +273,19 @@
             .collect::<Vec<_>>()
     };
     expect_that!(
-        effective(&[route_to_s("a", "h/", 5), route_to_s("b", "h/", 6)]),
+        effective(&[vhost_to_s("a", "h/", 5), vhost_to_s("b", "h/", 6)]),
         elements_are![eq("b")]
     );
     expect_that!(
-        effective(&[route_to_s("a", "h/", 6), route_to_s("b", "H/", 5)]),
+        effective(&[vhost_to_s("a", "h/", 6), vhost_to_s("b", "H/", 5)]),
         elements_are![eq("a")]
     );
     expect_that!(
-        effective(&[route_to_s("b", "h/", 5), route_to_s("a", "h/", 5)]),
+        effective(&[vhost_to_s("b", "h/", 5), vhost_to_s("a", "h/", 5)]),
         elements_are![eq("a")]
     );
     expect_that!(
-        effective(&[route_to_s("b", "h/", 5), route_to_s("a", "h/x/", 5)]),
+        effective(&[vhost_to_s("b", "h/", 5), vhost_to_s("a", "h/x/", 5)]),
         elements_are![eq("b"), eq("a")]
     );
 }
@@ -293,12 +293,12 @@
 #[gtest]
 fn routes_without_a_known_service_are_not_effective() {
     let hosts = [
-        route("a", "h/a/", &[("gone", 3)], 1),
-        route("b", "h/b/", &[("s", 1), ("gone", 3)], 1),
-        route("c", "h/c/", &[("s", 0), ("gone", 3)], 1),
+        vhost("a", "h/a/", &[("gone", 3)], 1),
+        vhost("b", "h/b/", &[("s", 1), ("gone", 3)], 1),
+        vhost("c", "h/c/", &[("s", 0), ("gone", 3)], 1),
         // A newer route without a known service does not replace the older one.
-        route("d", "h/d/", &[("s", 1)], 1),
-        route("e", "h/d/", &[("gone", 1)], 2),
+        vhost("d", "h/d/", &[("s", 1)], 1),
+        vhost("e", "h/d/", &[("gone", 1)], 2),
     ];
     let configuration = configuration(&[
         patch(&[service("s", 1), service("gone", 1)], &hosts, &[], &[]),
--- a/crates/emberpin-config/tests/history.rs
+++ b/crates/emberpin-config/tests/history.rs
@@ -102,7 +102,7 @@
             .items
     };
     let route_at = |version: u64, location: &str| {
-        patch(&[], &[route("r", location, &[("s", 1)], version)], &[], &[]).items
+        patch(&[], &[vhost("r", location, &[("s", 1)], version)], &[], &[]).items
     };
     let mut newest = Configuration::new();
     commit(&mut newest, &[service_item("s", 1, 1)]);
@@ -169,7 +169,7 @@
     for version in 1..=8 {
         commit(&mut newest, &[service_item("x", version * 10, version)]);
     }
-    // Three versions are retained below the newest one, 80: 50, 60 and 70.
+    // The newest version is 80. The history retains the three versions below it: 50, 60 and 70.
     for (version, content, status) in [
         (40, 4, 503),
         (40, 5, 503),
--- a/crates/emberpin-config/tests/patch.rs
+++ b/crates/emberpin-config/tests/patch.rs
@@ -324,6 +324,7 @@
             "\"tries\":2",
             format!("{route}.ver: is missing"),
         ),
+        // The message states the rule that these prefixes violate.
         (
             "\"/a/\"",
             "\"a/\"",
@@ -447,6 +448,8 @@
     let equivalent = r#"{"ver":7,"name":"\u0073","maxconn":10,"hcheck":"\/"}"#;
     expect_that!(parse_two_services(plain, plain), starts_with("parsed"));
     expect_that!(parse_two_services(plain, equivalent), starts_with("parsed"));
+    // The message that clients receive says only that the key occurs twice; the error is that the contents or versions
+    // differ.
     expect_that!(
         parse_two_services(plain, &plain.replace('7', "8")),
         eq("upsert.svcs[1]: service s stands twice in the call")
@@ -472,8 +475,8 @@
         eq("remove.rtab[1]: route r stands twice in the call")
     );
     let hosts = [
-        route("r", "a/", &[("s", 1)], 7),
-        route("r", "b/", &[("s", 1)], 7),
+        vhost("r", "a/", &[("s", 1)], 7),
+        vhost("r", "b/", &[("s", 1)], 7),
     ];
     expect_that!(
         parse_result(body(&[], &hosts, &[], &[]).as_bytes()),
@@ -491,7 +494,7 @@
         let name = "n".repeat(length);
         let bodies = [
             body(&[service(&name, 1)], &[], &[], &[]),
-            body(&[], &[route(&name, "h/", &[("s", 1)], 1)], &[], &[]),
+            body(&[], &[vhost(&name, "h/", &[("s", 1)], 1)], &[], &[]),
             body(&[], &[], &[removal(&name, 1)], &[]),
             body(&[], &[], &[], &[removal(&name, 1)]),
         ];
--- a/crates/emberpin-config/tests/validate.rs
+++ b/crates/emberpin-config/tests/validate.rs
@@ -29,7 +29,7 @@
                 );
             }
             ["route", name, location, service, version] => {
-                hosts.push(route(
+                hosts.push(vhost(
                     name,
                     location,
                     &[(service, 1)],
--- a/crates/emberpin-membership/src/deployment_bounds.rs
+++ b/crates/emberpin-membership/src/deployment_bounds.rs
@@ -5,7 +5,7 @@
 //! process starts.
 
 use crate::timing::{
-    recovery_time, OPERATOR_CALL_TIMEOUT, OPERATOR_SILENCE_TIMEOUT, PROXY_LEASE_DURATION,
+    session_recovery_time, OPERATOR_CALL_TIMEOUT, OPERATOR_SILENCE_TIMEOUT, PROXY_LEASE_DURATION,
     REDELIVERY_DELAY,
 };
 use std::fmt;
@@ -23,7 +23,8 @@
     /// How long after the acknowledgement of an evacuation its zone may still get requests.
     pub evac: Duration,
     /// How long after the last fault a machine may be out of contact with a majority of the stores and registries.
-    /// Compared with the time that a proxy needs to open a session with another registry.
+    /// Compared with [`session_recovery_time`] without failed attempts: the time until a proxy whose sessions are cut
+    /// off has a confirmed session with another registry.
     pub contact: Duration,
 }
 
@@ -86,7 +87,7 @@
             (Bound::Apply, self.apply, DELIVERY_TIME),
             (Bound::Drain, self.drain, DELIVERY_TIME),
             (Bound::Evac, self.evac, DELIVERY_TIME),
-            (Bound::Contact, self.contact, recovery_time(0)),
+            (Bound::Contact, self.contact, session_recovery_time(0)),
         ];
         let is_exceeded = |exceeded: &ExceededBound| exceeded.sum > exceeded.limit;
         sums.into_iter()
--- a/crates/emberpin-membership/src/lease.rs
+++ b/crates/emberpin-membership/src/lease.rs
@@ -28,8 +28,9 @@
     last_nonce: Nonce,
     /// Queries in flight, the oldest first.
     pending: VecDeque<PendingQuery>,
-    /// The time up to which everything that the peer knew has been received, in milliseconds on the clock of
-    /// [`Timestamp`]; negative if before the clock's origin. `None` before the first confirmation.
+    /// The latest time for which a confirmation was received: all that the peer knew at that time has been received.
+    /// In milliseconds on the clock of [`Timestamp`]; negative if before the clock's origin. `None` before the first
+    /// confirmation.
     confirmed_at_ms: Option<i64>,
 }
 
@@ -78,8 +79,8 @@
         Some(Duration::from_millis(u64::try_from(age_ms).unwrap_or(0)))
     }
 
-    /// The time up to which everything that the peer knew has been received, but no earlier than the clock's origin;
-    /// `None` before the first confirmation.
+    /// The latest time for which a confirmation was received: all that the peer knew at that time has been received.
+    /// The clock's origin if that time is before it; `None` before the first confirmation.
     pub fn confirmed_at(&self) -> Option<Timestamp> {
         let confirmed_at_ms = self.confirmed_at_ms?;
         Some(Timestamp::from_millis(
--- a/crates/emberpin-membership/src/lib.rs
+++ b/crates/emberpin-membership/src/lib.rs
@@ -15,7 +15,8 @@
 //! - [`rendezvous`]: the choice of the registry that owns an instance;
 //! - [`lease`], [`timing`]: the read leases that bound how stale a proxy's view may get, and the intervals whose sums
 //!   must stay within that bound;
-//! - [`candidates`]: the choice of the registry with which a proxy opens its next session.
+//! - [`candidates`]: the choice of the registry with which a proxy opens its next session;
+//! - [`guards`]: the safety checks of a registry, which tests can turn off one by one.
 #![forbid(unsafe_code)]
 
 pub mod candidates;
--- a/crates/emberpin-membership/src/timing.rs
+++ b/crates/emberpin-membership/src/timing.rs
@@ -102,7 +102,7 @@
 /// confirms the proxy's state, if the proxy first tries `failed_attempts` registries without that contact. It is the
 /// sum of the lease duration, the interval at which the proxy checks its leases, the backoff, the failed attempts and
 /// the catch-up of the new session.
-pub const fn recovery_time(failed_attempts: u64) -> Duration {
+pub const fn session_recovery_time(failed_attempts: u64) -> Duration {
     let mut total = sum(&[
         PROXY_LEASE_DURATION,
         LEASE_CHECK_INTERVAL,
@@ -164,11 +164,11 @@
 }
 
 const _: () = assert!(
-    is_within(recovery_time(0), bounds::CONTACT),
+    is_within(session_recovery_time(0), bounds::CONTACT),
     "a proxy does not recover within `contact` on a small site"
 );
 const _: () = assert!(
-    is_within(recovery_time(2), bounds::LARGE_SITE_CONTACT),
+    is_within(session_recovery_time(2), bounds::LARGE_SITE_CONTACT),
     "a proxy does not recover within `contact` on a large site"
 );
 const _: () = assert!(
--- a/crates/emberpin-membership/tests/candidates.rs
+++ b/crates/emberpin-membership/tests/candidates.rs
@@ -20,8 +20,8 @@
     let mut candidates = RegistryCandidates::default();
     let seeds = [ip(1), ip(2), ip(9)];
     candidates.on_registries_named((1..=5).map(ip).collect(), Confirmation::Confirmed);
-    // Both sessions were with the two registries that are cut off. Whichever random number is drawn, the next session
-    // must not try the registry of the other one.
+    // The two sessions of the proxy were with the registries that are cut off. Whichever random number is drawn,
+    // neither of these registries may be chosen for the next session.
     for random in 0..20 {
         let mut candidates = candidates.clone();
         for (slot, registry) in [(0, ip(1)), (1, ip(2))] {
--- a/crates/emberpin-membership/tests/common/cluster.rs
+++ b/crates/emberpin-membership/tests/common/cluster.rs
@@ -31,9 +31,9 @@
 /// How the store on a machine answers the queries of its registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreState {
-    /// It has just compared itself with a majority.
+    /// It confirms that its items are current: it has just compared them with those of a majority.
     Confirming,
-    /// It answers that it can confirm nothing.
+    /// It answers that it cannot confirm that its items are current, as a store without contact with a majority does.
     Unconfirmed,
     /// It does not answer.
     Silent,
--- a/crates/emberpin-membership/tests/operator_calls.rs
+++ b/crates/emberpin-membership/tests/operator_calls.rs
@@ -8,8 +8,8 @@
 use emberpin_membership::registry::OperatorCallTarget;
 use googletest::prelude::*;
 
-/// A cluster of three in which machine 1 is partitioned from the others and its store confirms nothing, for long enough
-/// that the leases of its registry have expired.
+/// A cluster of three in which machine 1 is partitioned from the others and its store answers that it has no contact
+/// with a majority, both for long enough that the leases of its registry have expired.
 fn partitioned_cluster(guards: Guards) -> Cluster {
     let mut cluster = Cluster::new(3);
     cluster.restart_with_guards(1, guards);
--- a/crates/emberpin-membership/tests/random_faults.rs
+++ b/crates/emberpin-membership/tests/random_faults.rs
@@ -196,7 +196,8 @@
         self.pending.insert(call, pending);
     }
 
-    /// Records new acknowledgements, and checks that all machines that must know an acknowledged shutdown do.
+    /// Records new acknowledgements, and checks that each machine knows the acknowledged shutdowns that it must know by
+    /// now.
     fn check(&mut self, seed: u64) -> googletest::Result<()> {
         self.record_replies();
         let now = self.cluster.now;
--- a/crates/emberpin-membership/tests/timing.rs
+++ b/crates/emberpin-membership/tests/timing.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_membership::timing;
-use emberpin_membership::timing::{recovery_time, Backoff};
+use emberpin_membership::timing::{session_recovery_time, Backoff};
 use googletest::prelude::*;
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 #[gtest]
 fn recovery_from_a_partition_takes_as_long_as_the_design_states() {
     expect_that!(
-        (0..3).map(recovery_time).collect::<Vec<_>>(),
+        (0..3).map(session_recovery_time).collect::<Vec<_>>(),
         elements_are![eq(&ms(2_600)), eq(&ms(3_600)), eq(&ms(4_900))]
     );
     expect_that!(timing::REDELIVERY_DELAY, eq(ms(705)));
--- a/crates/emberpin-registry/src/store_connection.rs
+++ b/crates/emberpin-registry/src/store_connection.rs
@@ -17,7 +17,8 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{timeout, Instant};
 
-/// The time-out for connecting to a store and receiving its preamble. It leaves time for the next store.
+/// The time-out for connecting to a store and receiving its preamble. Short enough that the next store can be tried
+/// before the call that needs the connection times out.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// The most requests that are queued to be written. While the queue is full, callers wait.
 const REQUEST_QUEUE_CAPACITY: usize = 64;
--- a/crates/emberpin-registry/tests/common/http_client.rs
+++ b/crates/emberpin-registry/tests/common/http_client.rs
@@ -32,8 +32,8 @@
     (status, response)
 }
 
-/// As [`call`], but repeats the call while the registry forwards none, which is until a store has confirmed that it is
-/// in contact with a majority.
+/// As [`call`], but repeats the call until the registry forwards or redirects it. The registry forwards calls once a
+/// store has confirmed that it is in contact with a majority.
 pub async fn call_once_confirmed(
     ip: Ipv4Addr,
     method: &str,
--- a/crates/emberpin-registry/tests/common/proxy_session.rs
+++ b/crates/emberpin-registry/tests/common/proxy_session.rs
@@ -25,7 +25,7 @@
 /// A session that sends keep-alives until its connection closes.
 pub struct ProxySession {
     reader: OwnedReadHalf,
-    /// Has the keep-alive task request the snapshot part after a cursor.
+    /// Cursors for the keep-alive task, which requests the snapshot part after each of them.
     cursors: UnboundedSender<SnapshotCursor>,
     keep_alives: JoinHandle<()>,
 }
--- a/crates/emberpin-registry/tests/http_api.rs
+++ b/crates/emberpin-registry/tests/http_api.rs
@@ -73,9 +73,9 @@
     ];
     // The partitioned registry knows of no other registry that could serve the calls.
     for (method, path, body) in calls {
-        let (response, took) = timed_call(machines[0], method, path, body).await;
+        let (status_and_response, took) = timed_call(machines[0], method, path, body).await;
         verify_that!(
-            (path, response.0, took < IMMEDIATE_RESPONSE),
+            (path, status_and_response.0, took < IMMEDIATE_RESPONSE),
             eq((path, 503, true))
         )?;
     }
@@ -108,7 +108,7 @@
             verify_that!((path, status), eq((path, 200)))?;
             continue;
         }
-        // The second redirect names the version of the evacuation. It is the last one.
+        // The second redirect, which is the last one, names the version of the evacuation.
         verify_that!((path, status), eq((path, 307)))?;
         let with_version = format!("{redirected}&evac-version=0");
         let location = format!("location: http://here{with_version}\r\n");
@@ -147,10 +147,10 @@
     body: &str,
 ) -> ((u16, String), Duration) {
     let called_at = Instant::now();
-    let response = call(ip, method, path, body).await;
+    let status_and_response = call(ip, method, path, body).await;
     let took = called_at.elapsed();
-    println!("{method} {path}: {} after {took:?}", response.0);
-    (response, took)
+    println!("{method} {path}: {} after {took:?}", status_and_response.0);
+    (status_and_response, took)
 }
 
 #[tokio::test]
--- a/crates/emberpin-registry/tests/recorded_messages.rs
+++ b/crates/emberpin-registry/tests/recorded_messages.rs
@@ -55,8 +55,9 @@
     }
 }
 
-/// The numbers of the variants of the enum `T`, which is encoded after `prefix` in a message: those bytes after the
-/// prefix for which the message can be decoded if zeros follow. This finds every variant, as every field can be zero.
+/// The numbers of the variants of the enum that follows `prefix` in a message of the type `T`: each byte with which the
+/// message can be decoded if `prefix` precedes it and zeros follow. This finds every variant, as every field can be
+/// zero.
 fn variants<T: DeserializeOwned>(prefix: &[u8]) -> Vec<u8> {
     let is_known = |variant: &u8| {
         let message = [prefix, &[*variant], &[0; 64]].concat();
@@ -68,7 +69,7 @@
     (0..0x80).filter(is_known).collect()
 }
 
-/// Expects that the variants of `T` in the recorded frames, after `prefix`, are all variants that can be decoded.
+/// Expects that the recorded frames have, after `prefix`, every variant that can be decoded there in a `T`.
 fn expect_all_recorded<T: DeserializeOwned>(frames: &[Vec<u8>], prefix: &[u8]) {
     let messages = frames
         .iter()
@@ -85,7 +86,7 @@
 }
 
 /// As [`expect_all_recorded`], for messages between stores, whose variants are recorded after one of several prefixes.
-fn expect_all_recorded_between(frames: &[Vec<u8>], prefixes: &[&[u8]]) {
+fn expect_all_recorded_between_stores(frames: &[Vec<u8>], prefixes: &[&[u8]]) {
     let without_prefix = |frame: &Vec<u8>| {
         let mut messages = prefixes
             .iter()
@@ -198,7 +199,7 @@
     expect_all_recorded::<ToStore>(&to_store, &[]);
     expect_all_recorded::<ToStore>(&to_store, &[0]);
     expect_all_recorded::<ToStore>(&to_store, &[0, 6, 4]);
-    expect_all_recorded_between(
+    expect_all_recorded_between_stores(
         &to_store,
         &[[1, 10, 1, 0, 7].as_slice(), [2, 10, 1, 0, 7].as_slice()],
     );
--- a/crates/emberpin-store/src/disk/journal.rs
+++ b/crates/emberpin-store/src/disk/journal.rs
@@ -113,7 +113,7 @@
     }
 }
 
-/// Reads each write from the newest journal after it was written.
+/// Reads each write back from the newest journal once the write has returned.
 pub struct JournalReader {
     keyspace: PathBuf,
     number: u64,
@@ -125,7 +125,7 @@
 impl JournalReader {
     /// Creates a reader that is positioned at the next write of a keyspace that was just opened. `journal_before_open`
     /// is the number of the newest journal before the keyspace was opened. A newer journal has no batch yet and is read
-    /// from its beginning: the length of its file is only reserved.
+    /// from its beginning: its file is preallocated, so the file's length does not tell where the next batch begins.
     ///
     /// # Errors
     ///
@@ -332,10 +332,10 @@
     }
 }
 
-/// Returns the last `N` bytes of a buffer to which at least as many were appended.
+/// Returns the last `N` bytes of a buffer to which at least `N` bytes were appended.
 fn last_bytes<const N: usize>(bytes: &[u8]) -> [u8; N] {
     bytes
         .last_chunk()
         .copied()
-        .expect("the caller appended at least as many bytes")
+        .expect("at least N bytes were appended to the buffer")
 }
--- a/crates/emberpin-store/src/disk/watermark.rs
+++ b/crates/emberpin-store/src/disk/watermark.rs
@@ -26,12 +26,12 @@
     }
 }
 
-/// Identifies a write, and summarizes all items that are present after it.
+/// Identifies a write, and summarizes the chosen items that the disk has after it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Watermark {
     /// The write that contains this watermark.
     pub write_number: WriteNumber,
-    /// Number of chosen items that are present.
+    /// Number of items chosen by consensus that the disk has after the write.
     pub item_count: u64,
     /// Digest of the keys and versions of these items, independent of their order.
     pub versions_digest: u64,
--- a/crates/emberpin-store/src/listener.rs
+++ b/crates/emberpin-store/src/listener.rs
@@ -60,8 +60,9 @@
     }
 }
 
-/// Logs the end of a connection if a malformed frame caused it, which indicates a bug in one of the two builds. Other
-/// ends are not logged. `malformed_frames` counts the malformed frames of all connections.
+/// Logs the end of a connection if a malformed frame caused it, which indicates a bug in this build or in the peer's.
+/// Other ends are not logged. `malformed_frames` counts the malformed frames of all connections; the log field
+/// `earlier` is the count before this frame.
 fn log_if_malformed(peer: IpAddr, error: &ConnectionError, malformed_frames: &AtomicU64) {
     if let ConnectionError::Malformed(_)
     | ConnectionError::MessageTooLong(_)
--- a/crates/emberpin-store/tests/disk_faults.rs
+++ b/crates/emberpin-store/tests/disk_faults.rs
@@ -59,25 +59,25 @@
             expect_that!(node.patch(&batch_patch(0)).await, eq(200));
             node.kill();
             node.start_with_file_limit(blocks);
-            let (accepted, response) = patch_until_rejected(&node, 1).await;
-            expect_that!(accepted, gt(2));
+            let (rejected_batch, response) = patch_until_rejected(&node, 1).await;
+            expect_that!(rejected_batch, gt(2));
             expect_that!(response, some(eq(&(503, "the disk is full".to_string()))));
             node.wait_for_disk(DiskState::Full).await;
             let mut stream = node.connect().await;
             let retry = StoreRequest::Patch {
                 id: RequestId(9),
-                body: batch_patch(accepted).into_bytes(),
+                body: batch_patch(rejected_batch).into_bytes(),
             };
             let rejected = node.try_call(&mut stream, retry).await;
             expect_that!(rejected, some(eq(&(503, "the disk is full".to_string()))));
             expect_that!(node.is_running(), eq(true));
             node.lift_file_limit();
             node.wait_for_disk(DiskState::Writable).await;
-            expect_that!(node.patch(&batch_patch(accepted)).await, eq(200));
+            expect_that!(node.patch(&batch_patch(rejected_batch)).await, eq(200));
             expect_that!(node.is_running(), eq(true));
             node.kill();
             node.start();
-            expect_batches(&node.get().await, 0..=accepted);
+            expect_batches(&node.get().await, 0..=rejected_batch);
         }
     });
 }
@@ -91,11 +91,11 @@
             expect_that!(node.patch(&batch_patch(0)).await, eq(200));
             node.kill();
             node.start_with_file_limit(blocks);
-            let (accepted, _) = patch_until_rejected(&node, 1).await;
+            let (rejected_batch, _) = patch_until_rejected(&node, 1).await;
             node.wait_for_disk(DiskState::Full).await;
             node.kill();
             node.start();
-            expect_batches(&node.get().await, 0..accepted);
+            expect_batches(&node.get().await, 0..rejected_batch);
         }
     });
 }
@@ -191,14 +191,15 @@
         node.disk_limit_mib = Some(1);
         node.bootstrap();
         expect_that!(node.patch(&batch_patch(0)).await, eq(200));
-        let (accepted, response) = patch_until_rejected(&node, 1).await;
+        let (rejected_batch, response) = patch_until_rejected(&node, 1).await;
         expect_that!(
             response,
             some(eq(&(503, "the disk is nearly full".to_string())))
         );
         let configuration_read = node.get().await;
         expect_that!(
-            (0..accepted).all(|number| configuration_read.contains(&format!("\"s-{number}-59-"))),
+            (0..rejected_batch)
+                .all(|number| configuration_read.contains(&format!("\"s-{number}-59-"))),
             eq(true)
         );
         node.kill();
