--- a/crates/emberpin-ctl/src/checks.rs
+++ b/crates/emberpin-ctl/src/checks.rs
@@ -49,7 +49,7 @@
         clock_skew,
         disk_usage,
         disks_without_writes,
-        unreadable_registers,
+        unreadable_locks,
         stuck_locks,
     ];
     checks.iter().flat_map(|check| check(fleet)).collect()
@@ -117,7 +117,7 @@
     vec![Finding::new(problem, remedy)]
 }
 
-/// Reports rosters with fewer than `MIN_VOTERS` voters or an even number of them.
+/// Reports rosters (sets of voters) with fewer than `MIN_VOTERS` voters or an even number of them.
 pub fn voter_count(fleet: &FleetReport) -> Vec<Finding> {
     let rosters: BTreeSet<&[String]> = fleet
         .reachable()
@@ -285,7 +285,7 @@
 
 /// Reports that the locks could not be read, which means that no majority of the stores confirms locks, numbers and
 /// cells.
-pub fn unreadable_registers(fleet: &FleetReport) -> Vec<Finding> {
+pub fn unreadable_locks(fleet: &FleetReport) -> Vec<Finding> {
     let Err(error) = &fleet.locks else {
         return Vec::new();
     };
--- a/crates/emberpin-ctl/src/client.rs
+++ b/crates/emberpin-ctl/src/client.rs
@@ -83,8 +83,9 @@
         matches!(self.status, 400 | 409 | 412 | 413 | 422)
     }
 
-    /// Whether the same request can succeed later or at another registry.
-    fn is_retryable(&self) -> bool {
+    /// Whether a response other than a success is a temporary failure: any status but a 4xx, or a 408 or 429. `call`
+    /// retries after these without a limit on their number, and after others up to `MAX_UNEXPECTED_REJECTIONS`.
+    fn is_temporary_failure(&self) -> bool {
         !(400..500).contains(&self.status) || matches!(self.status, 408 | 429)
     }
 }
@@ -174,7 +175,7 @@
             Ok(response) if response.is_success() => return Ok(response.body),
             Ok(response) => {
                 let Response { status, body, .. } = &response;
-                unexpected_rejections += usize::from(!response.is_retryable());
+                unexpected_rejections += usize::from(!response.is_temporary_failure());
                 if response.is_rejection() || unexpected_rejections == MAX_UNEXPECTED_REJECTIONS {
                     return Err(CallError::Rejected {
                         address: address.clone(),
--- a/crates/emberpin-ctl/src/locks.rs
+++ b/crates/emberpin-ctl/src/locks.rs
@@ -7,7 +7,8 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// The list is truncated after this many pages, so that a registry that never ends it does not block `doctor`.
+/// The list is truncated after this many pages, so that a registry that always names a next page does not block
+/// `doctor`.
 const MAX_PAGES: usize = 256;
 /// The HTTP status of a registry in a deployment that does not offer locks.
 const LOCKS_UNSUPPORTED_STATUS: u16 = 404;
--- a/crates/emberpin-ctl/tests/checks.rs
+++ b/crates/emberpin-ctl/tests/checks.rs
@@ -4,7 +4,7 @@
 
 use emberpin_ctl::checks::{
     check_all, clock_skew, disk_usage, disks_without_writes, instances_known_to_one_registry,
-    services_without_server, stuck_locks, unreachable_registries, unreadable_registers,
+    services_without_server, stuck_locks, unreachable_registries, unreadable_locks,
     unsettled_registries, voter_count, voter_disagreement, zones_without_proxy, Finding,
 };
 use emberpin_ctl::client::{AttemptError, CallError};
@@ -320,7 +320,7 @@
         "locks, numbers and cells cannot be read: no clear answer; if the request was a change, \
                    it may be in force or not. Last attempt: 10.1.0.1:8649: status 504 no majority";
     expect_that!(
-        found(&fleet_report, unreadable_registers),
+        found(&fleet_report, unreadable_locks),
         elements_are![eq(problem)]
     );
 }
--- a/crates/emberpin-demo/src/clients.rs
+++ b/crates/emberpin-demo/src/clients.rs
@@ -6,7 +6,7 @@
 use crate::invariants::guarantees_not_run;
 use crate::record::{lock, Attempt, ClientRequest, Outcome, Recorder};
 use crate::routes::{Route, RouteKind, ADDED_ROUTE, REMOVED_ROUTE};
-use crate::server::seal;
+use crate::server::seal_header_value;
 use http_body_util::Full;
 use hyper::body::Bytes;
 use hyper::{Method, Request};
@@ -283,7 +283,8 @@
                 .strip_prefix(" by ")?
                 .strip_suffix('\n')
         });
-        let has_seal_of = |server| response.header("seal") == Some(&seal(server, attempt_id));
+        let has_seal_of =
+            |server| response.header("seal") == Some(&seal_header_value(server, attempt_id));
         let retry_after = response.header("retry-after");
         let seconds = retry_after.and_then(|seconds| seconds.parse().ok());
         AttemptResponse {
--- a/crates/emberpin-demo/src/election.rs
+++ b/crates/emberpin-demo/src/election.rs
@@ -15,8 +15,8 @@
 
 /// The names of the candidates. Each runs as a separate task.
 pub const CANDIDATES: [&str; 2] = ["candidate-1", "candidate-2"];
-/// How long a candidate considers itself the leader after it sent its last successful call. Long enough for another
-/// store to take over the lead of the locks, numbers and cells meanwhile.
+/// How long a candidate considers itself the leader after it sent its last successful call. Long enough that, if the
+/// store that leads locks, numbers and cells fails, another one takes over before the lease expires.
 pub const LEASE_DURATION: Duration = Duration::from_millis(1_500);
 /// The interval between renewals.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/emberpin-demo/src/record.rs
+++ b/crates/emberpin-demo/src/record.rs
@@ -64,7 +64,7 @@
 pub struct Evacuation {
     /// The zone that no request may reach.
     pub zone: String,
-    /// When the begin of the evacuation was acknowledged.
+    /// When the start of the evacuation was acknowledged.
     pub acknowledged_at: Duration,
     /// The time after the acknowledgement in which requests may still arrive.
     pub bound: Duration,
@@ -98,7 +98,7 @@
     pub attempts: Vec<Attempt>,
     /// The clients' requests, in the order in which they ended.
     pub requests: Vec<ClientRequest>,
-    /// Evacuations whose begin was acknowledged.
+    /// Evacuations whose start was acknowledged.
     pub evacuations: Vec<Evacuation>,
     /// The terms of elected candidates, in the order in which the candidates learned of them.
     pub leader_terms: Vec<LeaderTerm>,
--- a/crates/emberpin-demo/src/role.rs
+++ b/crates/emberpin-demo/src/role.rs
@@ -39,7 +39,7 @@
         _ = prctl::set_pdeathsig(Signal::SIGKILL);
         let parent = arguments.next().and_then(|id| id.to_str()?.parse().ok());
         if parent != Some(getppid().as_raw()) {
-            // The parent had ended before the signal was set, so that nothing would end this process.
+            // The parent had ended before the signal was set, so nothing would end this process.
             return ExitCode::FAILURE;
         }
         match self {
--- a/crates/emberpin-demo/src/server.rs
+++ b/crates/emberpin-demo/src/server.rs
@@ -14,19 +14,19 @@
 use tokio::task::AbortHandle;
 
 pub use heartbeat::HEARTBEAT_INTERVAL;
-pub use requests::seal;
+pub use requests::seal_header_value;
 
 /// The number of requests that a server runs concurrently.
 const SLOTS: usize = 4;
 /// The warm-up time of a server that starts during traffic.
 const WARM_UP: Duration = Duration::from_secs(1);
-/// How long a server that shuts down continues to serve after the drain bound, for requests that are in flight.
+/// A server that shuts down serves for this long after `drain_bound` has passed, so that requests in flight can finish.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(200);
 
 /// The servers of one service in one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerGroup {
-    /// The service of the configuration that the servers run.
+    /// The service that the servers belong to, by its name in the configuration.
     pub service: &'static str,
     /// The failure domain of the servers.
     pub zone: &'static str,
@@ -112,8 +112,9 @@
         self.instance.group
     }
 
-    /// Shuts down gracefully: announces the drain, continues to serve until the drain bound has passed, announces the
-    /// leave, and ends. Returns whether both announcements were acknowledged.
+    /// Shuts down gracefully: announces the drain, continues to serve for `drain_bound` and a margin, announces the
+    /// leave, and ends. `drain_bound` is the time after which no new request may reach a draining server. Returns
+    /// whether both announcements were acknowledged.
     pub async fn shut_down(self, drain_bound: Duration) -> bool {
         self.instance.is_draining.store(true, Ordering::Relaxed);
         let drain_acknowledged = self.instance.send_heartbeat().await;
--- a/crates/emberpin-demo/src/server/requests.rs
+++ b/crates/emberpin-demo/src/server/requests.rs
@@ -25,7 +25,7 @@
 /// The factor by which the service time is longer while the server is warming up.
 const WARM_UP_SLOWDOWN: u32 = 3;
 
-/// Counts a request as pending; dropping the guard ends that.
+/// A guard that counts a request as pending until it is dropped.
 struct PendingRequest<'a>(&'a AtomicUsize);
 
 impl Drop for PendingRequest<'_> {
@@ -128,7 +128,11 @@
         let body = format!("{attempt_id} by {}\n", self.id);
         let mut response = Response::new(Full::from(body));
         set_header(&mut response, "try-id", attempt_id);
-        set_header(&mut response, "seal", &seal(&self.id, attempt_id));
+        set_header(
+            &mut response,
+            "seal",
+            &seal_header_value(&self.id, attempt_id),
+        );
         response
     }
 
@@ -148,7 +152,7 @@
 
 /// The value of the `seal` header with which a server marks its response to an attempt, so that the client can verify
 /// that the response belongs to the attempt.
-pub fn seal(server_id: &str, attempt_id: &str) -> String {
+pub fn seal_header_value(server_id: &str, attempt_id: &str) -> String {
     format!("{server_id}.{attempt_id}")
 }
 
--- a/crates/emberpin-demo/tests/coordination_faults.rs
+++ b/crates/emberpin-demo/tests/coordination_faults.rs
@@ -133,7 +133,7 @@
         )?;
         sleep(POLL_INTERVAL).await;
     };
-    // The lease is counted from before the answer was received, so that it may expire a few milliseconds earlier.
+    // The lease began before the answer was received, so it may expire a few milliseconds earlier.
     let answer_time = Duration::from_millis(100);
     verify_that!(granted_at.elapsed(), ge(LEASE_DURATION - answer_time))?;
     verify_that!(next_token, gt(fencing_token))?;
--- a/crates/emberpin-demo/tests/coordination_restarts.rs
+++ b/crates/emberpin-demo/tests/coordination_restarts.rs
@@ -29,7 +29,7 @@
 }
 
 impl AcknowledgedState {
-    /// Makes calls of each kind at each machine in turn, and returns the state that was acknowledged.
+    /// Makes calls of each kind, at one machine after the other, and returns the state that was acknowledged.
     async fn collect(machines: &CoreMachines) -> googletest::Result<AcknowledgedState> {
         let mut acknowledged = AcknowledgedState {
             fencing_token: 0,
@@ -131,7 +131,7 @@
     }
 }
 
-// Guards against the failure SHORT of issue 62: no call for locks, numbers and cells was served.
+// Guards against a failure of issue 62: no call for locks, numbers and cells was served.
 #[tokio::test]
 async fn a_system_without_faults_serves_each_kind_of_call() -> googletest::Result<()> {
     let machines = CoreMachines::start_three(91);
@@ -143,7 +143,7 @@
     acknowledged.verify(&machines).await
 }
 
-// Guards against the failure LOST of issue 62: acknowledged state was lost after a power failure.
+// Guards against a failure of issue 62: acknowledged state was lost after a power failure.
 #[tokio::test]
 async fn acknowledged_state_survives_a_kill_of_all_processes() -> googletest::Result<()> {
     let mut machines = CoreMachines::start_three(92);
@@ -154,7 +154,7 @@
     acknowledged.verify(&machines).await
 }
 
-// Guards against the failure LOST of issue 62 if one of the disks is lost together with the power.
+// As before, with the loss of one of the disks during the power failure.
 #[tokio::test]
 async fn acknowledged_state_survives_a_kill_of_all_processes_and_the_loss_of_a_disk(
 ) -> googletest::Result<()> {
--- a/crates/emberpin-demo/tests/deployed_system/mod.rs
+++ b/crates/emberpin-demo/tests/deployed_system/mod.rs
@@ -164,7 +164,7 @@
         let machines = 0..self.machines.len();
         let has_role = |machine: usize, index: usize| {
             let role = &self.roles[index];
-            // There is at most one machine of a class in each zone, so that it has the role whatever the share.
+            // There is at most one machine of a class in each zone, so it has the role whatever the share.
             role.class == self.machines[machine].class && role.share > 0.0
         };
         machines
--- a/crates/emberpin-demo/tests/documentation.rs
+++ b/crates/emberpin-demo/tests/documentation.rs
@@ -108,8 +108,11 @@
         let code = text
             .lines()
             .filter(|line| !line.trim_start().starts_with("//"));
-        let name = |c: char| !c.is_alphanumeric() && c != '_';
-        words.extend(code.flat_map(|line| line.split(name)).map(str::to_owned));
+        let is_separator = |c: char| !c.is_alphanumeric() && c != '_';
+        words.extend(
+            code.flat_map(|line| line.split(is_separator))
+                .map(str::to_owned),
+        );
     }
     words
 }
@@ -119,11 +122,11 @@
 fn names(span: &str) -> Vec<String> {
     let called = span.ends_with("()");
     let path = span.trim_end_matches("()");
-    let name = |part: &str| {
+    let is_identifier = |part: &str| {
         !part.is_empty() && part.chars().all(|c| c.is_ascii_alphanumeric() || c == '_')
     };
     let parts: Vec<&str> = path.split("::").collect();
-    if !parts.iter().all(|part| name(part)) {
+    if !parts.iter().all(|part| is_identifier(part)) {
         return Vec::new();
     }
     let first = parts[0];
@@ -152,7 +155,7 @@
     line.split([':', '=', '…']).next()
 }
 
-/// All sources in `src` folders as one text, in which a string that is continued on the next line is joined to one line.
+/// All sources in `src` folders as one text, in which strings that are continued on the next line are joined.
 fn sources() -> String {
     let paths = files_below("crates");
     let sources = paths
--- a/crates/emberpin-peering/tests/handshake.rs
+++ b/crates/emberpin-peering/tests/handshake.rs
@@ -175,7 +175,7 @@
         nonce: 5,
     };
     network.receive_message(restarted, &hello_of_incarnation("n1", new));
-    // The second connection, and the one that this side had opened to the old incarnation.
+    // Two more were replaced: the second connection, and the one that this side had opened to the old incarnation.
     assert_eq!(
         network.hosts[0].close_reasons,
         vec![CloseReason::Replaced; 3]
--- a/crates/emberpin-proxy/src/connection_pool.rs
+++ b/crates/emberpin-proxy/src/connection_pool.rs
@@ -23,7 +23,8 @@
 /// A server that acknowledges nothing for this long counts as unreachable.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(400);
 /// Bytes of a response that are buffered before any of it is forwarded. A response that breaks off within them can be
-/// retried. Longer ones are streamed, since buffering them would take the transfer time of a slow link twice.
+/// retried. Longer ones are streamed: if they were buffered, the transfer to the client would begin only after the
+/// transfer from the server, which doubles the time on slow links.
 const BUFFERED_RESPONSE_BYTES: usize = 16 << 10;
 
 /// Maximum numbers of connections to clients and to servers.
--- a/crates/emberpin-proxy/src/controller/control_sessions.rs
+++ b/crates/emberpin-proxy/src/controller/control_sessions.rs
@@ -1,4 +1,5 @@
-//! Registry sessions: applies the updates that registries send, and decides when they make this proxy ready.
+//! Registry sessions: applies the updates that registries send, and marks this proxy as ready once it has received a
+//! whole snapshot in a confirmed session.
 
 use super::Controller;
 use crate::command::SessionId;
--- a/crates/emberpin-proxy/tests/client_limits.rs
+++ b/crates/emberpin-proxy/tests/client_limits.rs
@@ -326,8 +326,8 @@
 
 // ---- Time ----
 
-/// Guards `head` in `client_limits`: without it, the default of 2.5 to 4 s would apply, where a head may take at least
-/// as long as the limit.
+/// Guards `head` in `client_limits`: a head may take at least as long as the configured limit. Without it, a default of
+/// 2.5 to 4 s would apply.
 #[tokio::test]
 async fn a_head_may_take_as_long_as_the_limits_allow() -> googletest::Result<()> {
     let (proxy, _session, _server) = start_with_limits(ClientLimits {
--- a/crates/emberpin-proxy/tests/request_bodies.rs
+++ b/crates/emberpin-proxy/tests/request_bodies.rs
@@ -73,8 +73,8 @@
     verify_that!(client.status().await, some(eq(200)))
 }
 
-/// Guards `RequestBody::Uploading`: the server receives the beginning before the client has sent the end, and the time limit
-/// of the route counts from the last byte of the body.
+/// Guards `RequestBody::Uploading`: the server receives the beginning before the client has sent the end, and the time
+/// limit of the route counts from the last byte of the body.
 #[tokio::test]
 async fn a_long_body_is_streamed_while_it_is_uploaded() -> googletest::Result<()> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
--- a/crates/emberpin-proxy/tests/response_integrity_proptest/cases.rs
+++ b/crates/emberpin-proxy/tests/response_integrity_proptest/cases.rs
@@ -3,7 +3,8 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-/// The bytes of one response: how long its body is, how it is framed and split, and how many interim responses precede it.
+/// The bytes of one response: how long its body is, how it is framed and split, and how many interim responses precede
+/// it.
 #[derive(Clone, Debug)]
 pub struct ResponseShape {
     pub size: usize,
@@ -28,7 +29,7 @@
 pub enum ServerAction {
     Respond(ResponseShape, Trailing),
     /// Ends the connection after this many thousandths of the response's bytes.
-    Truncate(ResponseShape, usize, RequestOutcome),
+    Truncate(ResponseShape, usize, ConnectionEnding),
     /// A response with this status and `Not-Run`.
     NotRun(u16),
     /// A response with this status, without `Not-Run`.
@@ -41,16 +42,16 @@
     ForeignId(ResponseShape),
     Garbage,
     /// Ends the connection once the head has arrived.
-    EndAtHead(RequestOutcome),
+    EndAtHead(ConnectionEnding),
     /// Ends the connection once the whole request has arrived.
-    EndAtBody(RequestOutcome),
+    EndAtBody(ConnectionEnding),
     /// Sends no response.
     Silence,
 }
 
 /// How a server ends a connection.
 #[derive(Clone, Copy, Debug)]
-pub enum RequestOutcome {
+pub enum ConnectionEnding {
     Close,
     Reset,
 }
@@ -86,8 +87,8 @@
     })
 }
 
-fn ending() -> impl Strategy<Value = RequestOutcome> {
-    prop_oneof![Just(RequestOutcome::Close), Just(RequestOutcome::Reset)]
+fn ending() -> impl Strategy<Value = ConnectionEnding> {
+    prop_oneof![Just(ConnectionEnding::Close), Just(ConnectionEnding::Reset)]
 }
 
 fn server_action() -> impl Strategy<Value = ServerAction> {
--- a/crates/emberpin-proxy/tests/response_integrity_proptest/history.rs
+++ b/crates/emberpin-proxy/tests/response_integrity_proptest/history.rs
@@ -53,8 +53,8 @@
         Ok(())
     }
 
-    /// Checks whether a client may see its connection reset before the head of a response: the reset of a streamed response
-    /// that was truncated discards what the client has not read yet.
+    /// Checks whether a client may see its connection reset before the head of a response: the reset of a streamed
+    /// response that was truncated discards what the client has not read yet.
     pub fn check_missing_response(&self, id: &str) -> Result<(), String> {
         let broken_off = self
             .arrivals_of(id)
--- a/crates/emberpin-proxy/tests/response_integrity_proptest/main.rs
+++ b/crates/emberpin-proxy/tests/response_integrity_proptest/main.rs
@@ -170,8 +170,8 @@
     }
 }
 
-/// Guards each step of forwarding a response: `response_belongs`, the checks of idle connections, `outcome`, framing and
-/// buffering, `BodyInterrupted`, and the decisions whether a request may have run and may be retried.
+/// Guards each step of forwarding a response: `response_belongs`, the checks of idle connections, `outcome`, framing
+/// and buffering, `BodyInterrupted`, and the decisions whether a request may have run and may be retried.
 #[test]
 fn no_client_receives_a_byte_of_another_response() {
     let cases = std::env::var("EMBERPIN_ANSWER_CASES")
--- a/crates/emberpin-proxy/tests/response_integrity_proptest/servers.rs
+++ b/crates/emberpin-proxy/tests/response_integrity_proptest/servers.rs
@@ -1,6 +1,6 @@
 //! Servers that perform the generated actions.
 
-use crate::cases::{RequestOutcome, ResponseShape, ServerAction, Trailing};
+use crate::cases::{ConnectionEnding, ResponseShape, ServerAction, Trailing};
 use crate::common::{read_body, read_head, read_message, MessageKind};
 use crate::history::{Arrival, SharedHistory};
 use socket2::SockRef;
@@ -71,8 +71,8 @@
     _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-fn end(stream: &TcpStream, ending: RequestOutcome) {
-    if let RequestOutcome::Reset = ending {
+fn end(stream: &TcpStream, ending: ConnectionEnding) {
+    if let ConnectionEnding::Reset = ending {
         reset(stream);
     }
 }
--- a/crates/emberpin-proxy/tests/routing.rs
+++ b/crates/emberpin-proxy/tests/routing.rs
@@ -125,8 +125,8 @@
     )
 }
 
-/// Guards `update_in_flight_routes` and `take_back`: a request that a server rejected after its route changed goes to the
-/// new service.
+/// Guards `update_in_flight_routes` and `take_back`: a request that a server rejected after its route changed goes to
+/// the new service.
 #[tokio::test]
 async fn a_request_in_flight_follows_its_route_to_another_service() -> googletest::Result<()> {
     let (mut old, spare, new) = (
--- a/crates/emberpin-proxy/tests/server_selection.rs
+++ b/crates/emberpin-proxy/tests/server_selection.rs
@@ -125,8 +125,8 @@
     verify_that!(shortest, lt(Duration::from_millis(100)))
 }
 
-/// Guards `available` in the `unreachable` of `update_endpoint`: a server that is not available is not probed, so it
-/// must not stay unreachable.
+/// Guards the condition `available` of `unreachable` in `update_endpoint`: a server that is not available is not probed,
+/// so it must not stay marked as unreachable.
 #[tokio::test]
 async fn a_server_that_was_unreachable_before_an_evacuation_gets_requests_after_it(
 ) -> googletest::Result<()> {
--- a/crates/emberpin-routing/src/router.rs
+++ b/crates/emberpin-routing/src/router.rs
@@ -1,5 +1,6 @@
-//! The routing state of one proxy: routes, endpoints and slow start. It decides about a request when its server is
-//! chosen, and again when the state changes while the request is in flight or waits for a connection or a retry.
+//! The routing state of one proxy: routes, endpoints and slow start. It determines which servers a request may be sent
+//! to. This is checked when the server is chosen, and again when the state changes while the request is in flight or
+//! waits for a connection or a retry.
 
 use crate::endpoints::EndpointTable;
 use crate::guards::Guards;
@@ -14,7 +15,8 @@
 #[derive(Debug)]
 pub struct Router {
     proxy_name: String,
-    tolerance: WarmupTolerance,
+    /// How far the requests to a warming server may exceed the rate of its profile.
+    warmup_tolerance: WarmupTolerance,
     proxy_count: u32,
     /// The current routes.
     pub routes: RouteMatcher,
@@ -29,12 +31,12 @@
     pub fn new(
         now: Duration,
         proxy_name: &str,
-        tolerance: WarmupTolerance,
+        warmup_tolerance: WarmupTolerance,
         heartbeat_interval: Duration,
     ) -> Router {
         Router {
             proxy_name: proxy_name.into(),
-            tolerance,
+            warmup_tolerance,
             proxy_count: 0,
             routes: RouteMatcher::default(),
             endpoints: EndpointTable::new(heartbeat_interval),
@@ -47,11 +49,11 @@
     pub fn with_guards(
         now: Duration,
         proxy_name: &str,
-        tolerance: WarmupTolerance,
+        warmup_tolerance: WarmupTolerance,
         heartbeat_interval: Duration,
         guards: Guards,
     ) -> Router {
-        let mut router = Router::new(now, proxy_name, tolerance, heartbeat_interval);
+        let mut router = Router::new(now, proxy_name, warmup_tolerance, heartbeat_interval);
         router.endpoints.guards = guards;
         router.slow_start.guards = guards;
         router
@@ -108,7 +110,7 @@
         };
         let limit = WarmupLimit {
             requests_per_second: profile.requests_per_second,
-            tolerance: self.tolerance,
+            tolerance: self.warmup_tolerance,
         };
         self.slow_start
             .admits(now, instance_id, &limit, self.proxy_count, &self.proxy_name)
--- a/crates/emberpin-routing/tests/router.rs
+++ b/crates/emberpin-routing/tests/router.rs
@@ -1,5 +1,5 @@
-//! What binds a request when its server is chosen and while it is in flight: updates that arrive while it waits for a
-//! connection.
+//! The effect of updates of endpoints and routes on a request that was routed before them and waits for a connection or
+//! is in flight.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
--- a/crates/emberpin-startup/tests/call_schedule_groups.rs
+++ b/crates/emberpin-startup/tests/call_schedule_groups.rs
@@ -270,9 +270,9 @@
     assert!(observed.answered_at.is_empty());
 }
 
-/// Guards against first windows that are shorter than the time that the discovery service needs to answer all members:
-/// limiters that had called just before the recovery called again at once, and their calls overloaded the recovered
-/// discovery service and failed.
+/// Guards against a backoff after the first failed call that is shorter than the time that the discovery service needs
+/// to answer all members: limiters that had called just before the recovery called again at once, and their calls
+/// overloaded the recovered discovery service and failed.
 #[test]
 fn a_service_that_recovers_while_first_calls_still_come_is_not_overloaded() {
     for (size, outage) in [(24, 2.0), (24, 5.0), (100, 5.0), (300, 5.0)] {
--- a/crates/emberpin-testbed/src/process.rs
+++ b/crates/emberpin-testbed/src/process.rs
@@ -147,7 +147,7 @@
                     .clone()
                     .map(|fault| ("EMBERPIN_DISK", fault)),
             )
-            // The limiter creates this marker file when its disk fault first takes effect.
+            // The path of a marker file, which the limiter creates when its disk fault first takes effect.
             .env("EMBERPIN_DISK_SAID", self.disk_fault_marker())
             .stdin(Stdio::null())
             .stdout(Stdio::null())
@@ -282,7 +282,7 @@
 
     /// Kills the process with SIGKILL; returns when it has exited.
     pub async fn kill(&self) {
-        // The exit is recorded before the signal is sent, so that the trace has no effect of the kill before the exit.
+        // The exit is recorded before the signal is sent, so that it precedes all effects of the kill in the trace.
         self.kill_as(ProcessEnd::Killed);
         self.wait_until_exited().await;
     }
@@ -318,7 +318,8 @@
         }
     }
 
-    /// Waits until the process has exited, then adds its processor time to that of the earlier incarnations.
+    /// Waits until the process has exited. Then the total processor time as of the last [`Limiter::measure`] becomes
+    /// that of the earlier incarnations.
     async fn wait_until_exited(&self) {
         _ = self.exited.subscribe().wait_for(|exited| *exited).await;
         let mut usage = self.usage.get();
--- a/crates/emberpin-testbed/src/trace.rs
+++ b/crates/emberpin-testbed/src/trace.rs
@@ -73,11 +73,12 @@
 }
 
 /// What happened, with the details of each kind of event. In the serialized form of an event's details, `what` is a
-/// request's id, `life` is an incarnation, and `how` tells how an attempt or a process ended.
+/// request's id, `life` is an incarnation, and `how` tells how an attempt or a process ended. The name `Left` has two
+/// meanings: as the kind of an event it is [`EventKind::RequestCancelled`], in `how` it is [`ProcessEnd::ShutDown`].
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum EventKind {
     /// A client sent a request: it wrote the last byte to an established connection. The kernel establishes connections
-    /// to a listening limiter, so that the limiter's process may not have accepted this one yet.
+    /// to a listening limiter, so the limiter's process may not have accepted the connection yet.
     #[serde(rename = "Asked")]
     RequestSent {
         /// The request's id, chosen by the client.
--- a/crates/emberpin-testbed/tests/common/mod.rs
+++ b/crates/emberpin-testbed/tests/common/mod.rs
@@ -12,8 +12,8 @@
 use std::ffi::OsString;
 
 /// Runs a site with this seed. `scenario_tables` is the text of the scenario file after its name, description and seed.
-/// `operator_tables` is the text of the limiters' operator file; if it is empty, they get none. `links` connects the
-/// limiters by links.
+/// `operator_tables` is the text of the limiters' operator file; if it is empty, they get none. With `links`, the
+/// limiters are connected by stream links in addition to the peer network.
 pub fn run_site_with(
     operator_tables: &str,
     links: bool,
